--- a/include/dockpoint/routing/replica_directory.hpp
+++ b/include/dockpoint/routing/replica_directory.hpp
@@ -48,7 +48,7 @@
 };
 
 /// @return the id of the life of a replica that began at a time.
-std::string replica_life_id(const std::string& name, std::int64_t started_ms);
+std::string replica_incarnation_id(const std::string& name, std::int64_t started_ms);
 
 /// Load that a replica states in an answer.
 struct ReportedLoad {
@@ -116,9 +116,9 @@
   /// The replica has left; requests in flight to it may still end.
   void remove(const std::string& id);
   /// The replica has started again: this life of it is over, and so is what is in flight there.
-  void end_life(const std::string& id, TimePoint now);
+  void end_incarnation(const std::string& id, TimePoint now);
   /// @return whether `end_life` was called for the id lately.
-  bool life_ended(const std::string& id) const { return ended_lives_.contains(id); }
+  bool incarnation_ended(const std::string& id) const { return ended_lives_.contains(id); }
   /// Removes every replica that `ids` does not hold.
   void retain(const std::vector<std::string>& ids);
 
@@ -154,13 +154,13 @@
   /// @return nodes whose digests count.
   std::size_t peers() const { return peers_.size(); }
   /// @return batch items that those nodes run or have to run.
-  std::int64_t pending_items_of_peers() const { return pending_items_of_peers_; }
+  std::int64_t peer_pending_items() const { return pending_items_of_peers_; }
   /// @return this node's requests in flight and the failures it saw, replicas without any left out.
   std::vector<LoadDigestEntry> own_load(TimePoint now) const;
 
   /// Finds a node that runs an item at a replica, and counts one less there until it tells its load
   /// again. @return the node, see `node_key`, or nothing if no peer is known to run one.
-  std::optional<std::uint32_t> take_item_of_peer(std::uint32_t replica_key, TimePoint now);
+  std::optional<std::uint32_t> claim_peer_item(std::uint32_t replica_key, TimePoint now);
 
   const Replica* find(const std::string& id) const;
   /// @return the replica with a key in digests, or null.
--- a/src/gateway/batch_executor.cpp
+++ b/src/gateway/batch_executor.cpp
@@ -195,7 +195,7 @@
   FleetLoad load;
   load.rounding = rounding_;
   load.own_items = static_cast<double>(pending());
-  load.all_items = load.own_items + static_cast<double>(context_.replicas.pending_items_of_peers());
+  load.all_items = load.own_items + static_cast<double>(context_.replicas.peer_pending_items());
   for (const auto& [id, replica] : context_.replicas.all()) {
     const auto service = context_.configuration->services.find(replica.record.service);
     const bool engine =
--- a/src/gateway/fleet_watch.cpp
+++ b/src/gateway/fleet_watch.cpp
@@ -271,7 +271,7 @@
     if (used_before) {
       spdlog::info("fleet: replica has started again replica={} before={}", record->id, before);
     }
-    context_.replicas.end_life(before, now);
+    context_.replicas.end_incarnation(before, now);
   }
   if (record->started_ms > 0) {
     newest_start_[name] = record->started_ms;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -276,7 +276,7 @@
   if (batch_.yield_slot(replica.record.id)) {
     return;
   }
-  const auto node = replicas_.take_item_of_peer(replica.key, net::steady_now());
+  const auto node = replicas_.claim_peer_item(replica.key, net::steady_now());
   if (node) {
     peers_.send_slot_request(*node, {replica.key});
   }
--- a/src/gateway/item_run.cpp
+++ b/src/gateway/item_run.cpp
@@ -167,7 +167,7 @@
 }
 
 void ItemRun::tick(TimePoint now) {
-  if (context_.replicas.life_ended(attempt_.replica())) {
+  if (context_.replicas.incarnation_ended(attempt_.replica())) {
     tell_crash_watch(true);
     interrupted(now, "the replica has started again");
   } else if (now - last_progress_ > context_.knobs.item_silence) {
--- a/src/gateway/online_call.cpp
+++ b/src/gateway/online_call.cpp
@@ -327,7 +327,7 @@
   const auto self = shared_from_this();
   if (now >= deadline_) {
     expire(now);
-  } else if (attempt_.under_way() && context_.replicas.life_ended(attempt_.replica())) {
+  } else if (attempt_.under_way() && context_.replicas.incarnation_ended(attempt_.replica())) {
     if (context_.crash_watch != nullptr) {
       context_.crash_watch->replica_ended(fingerprint(), TrafficClass::kOnline, attempt_.replica());
     }
--- a/src/routing/replica_directory.cpp
+++ b/src/routing/replica_directory.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::string replica_life_id(const std::string& name, std::int64_t started_ms) {
+std::string replica_incarnation_id(const std::string& name, std::int64_t started_ms) {
   return started_ms == 0 ? name : name + "@" + std::to_string(started_ms);
 }
 
@@ -63,7 +63,7 @@
   }
 }
 
-void ReplicaDirectory::end_life(const std::string& id, TimePoint now) {
+void ReplicaDirectory::end_incarnation(const std::string& id, TimePoint now) {
   remove(id);
   std::erase_if(ended_lives_,
                 [&](const auto& entry) { return now - entry.second > kEndedLifeMemory; });
@@ -288,8 +288,8 @@
   return entries;
 }
 
-std::optional<std::uint32_t> ReplicaDirectory::take_item_of_peer(std::uint32_t replica_key,
-                                                                 TimePoint now) {
+std::optional<std::uint32_t> ReplicaDirectory::claim_peer_item(std::uint32_t replica_key,
+                                                               TimePoint now) {
   PeerLoad* most = nullptr;
   LoadDigestEntry* entry_of_most = nullptr;
   std::uint32_t node = 0;
--- a/tests/gateway/fleet_watch_test.cpp
+++ b/tests/gateway/fleet_watch_test.cpp
@@ -200,7 +200,7 @@
   BOOST_TEST(after.online == 0);
   BOOST_TEST(!after.on_trial());
   BOOST_TEST(after.key != 0U);
-  BOOST_TEST(directory.life_ended(before));
+  BOOST_TEST(directory.incarnation_ended(before));
   directory.ended(before,
                   TrafficClass::kOnline);  // What was in flight ends: the new life is not told.
   BOOST_TEST(directory.ready("lm").front()->online == 0);
--- a/tests/platform/online_proxy_test.cpp
+++ b/tests/platform/online_proxy_test.cpp
@@ -316,7 +316,7 @@
                        [](const auto& exchange) { answer(exchange, "whole"); });
   StandInReplica silent(world.loop, "r1", kFirstPort, [&](const auto&) {
     world.directory.upsert(other.record("lm"), {});
-    world.directory.end_life("r1", net::steady_now());
+    world.directory.end_incarnation("r1", net::steady_now());
   });
   world.directory.upsert(silent.record("lm"), {});
   BOOST_TEST(world.ask().body == "whole");
@@ -327,8 +327,9 @@
 BOOST_AUTO_TEST_CASE(what_may_not_be_repeated_fails_at_once_when_its_replica_starts_again) {
   ProxyWorld world(kFrontPort);
   world.route().kind = RouteKind::kNonIdempotent;
-  StandInReplica silent(world.loop, "r1", kFirstPort,
-                        [&](const auto&) { world.directory.end_life("r1", net::steady_now()); });
+  StandInReplica silent(world.loop, "r1", kFirstPort, [&](const auto&) {
+    world.directory.end_incarnation("r1", net::steady_now());
+  });
   world.directory.upsert(silent.record("lm"), {});
   BOOST_TEST(world.ask().head.status == 502);
   BOOST_TEST(silent.requests() == 1);
--- a/tests/routing/replica_directory_test.cpp
+++ b/tests/routing/replica_directory_test.cpp
@@ -82,8 +82,8 @@
     for (const auto& [node, pending] : items) {
       expected_items += pending;
     }
-    if (directory.pending_items_of_peers() != expected_items) {
-      BOOST_FAIL("step " << step << ": " << directory.pending_items_of_peers() << " items");
+    if (directory.peer_pending_items() != expected_items) {
+      BOOST_FAIL("step " << step << ": " << directory.peer_pending_items() << " items");
     }
     for (int replica = 0; replica < kReplicas; ++replica) {
       const Replica* known = directory.find(name(static_cast<std::uint64_t>(replica)));
@@ -103,7 +103,7 @@
   }
   directory.expire_peer_loads(at(10'000));
   BOOST_TEST(directory.peers() == 0U);
-  BOOST_TEST(directory.pending_items_of_peers() == 0);
+  BOOST_TEST(directory.peer_pending_items() == 0);
   for (const auto& [id, replica] : directory.all()) {
     BOOST_TEST(replica.of_peers == 0);
     BOOST_TEST(replica.failures_of_peers == 0);
--- a/tests/routing/slot_request_test.cpp
+++ b/tests/routing/slot_request_test.cpp
@@ -39,12 +39,12 @@
   directory.set_peer_loads(
       {{1, 0, 0, true, 5, {{key, 3, 0, 1, 0}}}, {2, 0, 0, true, 5, {{key, 2, 0, 2, 0}}}}, at(0));
   BOOST_TEST(directory.find("r1")->all_batch() == 3);
-  BOOST_TEST(directory.take_item_of_peer(key, at(10)).value_or(0) == 2U);
+  BOOST_TEST(directory.claim_peer_item(key, at(10)).value_or(0) == 2U);
   BOOST_TEST(directory.find("r1")->all_batch() == 2);
   BOOST_TEST(directory.find("r1")->load(at(10)) == 4);
-  BOOST_TEST(directory.take_item_of_peer(key, at(10)).has_value());
-  BOOST_TEST(directory.take_item_of_peer(key, at(10)).has_value());
-  BOOST_TEST(!directory.take_item_of_peer(key, at(10)).has_value());
+  BOOST_TEST(directory.claim_peer_item(key, at(10)).has_value());
+  BOOST_TEST(directory.claim_peer_item(key, at(10)).has_value());
+  BOOST_TEST(!directory.claim_peer_item(key, at(10)).has_value());
   BOOST_TEST(directory.find("r1")->all_online() == 2);
   BOOST_TEST(directory.find_key(key) == directory.find("r1"));
   BOOST_TEST(directory.find_key(key + 1) == nullptr);
