--- a/include/dockpoint/routing/replica_directory.hpp
+++ b/include/dockpoint/routing/replica_directory.hpp
@@ -76,8 +76,8 @@
   std::uint32_t key = 0;           ///< Of the replica in digests.
   int online = 0;                  ///< Requests of this node in flight there.
   int batch = 0;                   ///< Items of this node in flight there.
-  int of_peers = 0;                ///< In flight there from other nodes, by their digests.
-  int batch_of_peers = 0;          ///< Items among them.
+  int peer_in_flight = 0;          ///< In flight there from other nodes, by their digests.
+  int peer_batch = 0;              ///< Items among them.
   double prefill_tokens = 0;       ///< Prompt tokens sent by this node and not answered yet.
   double peer_prefill_tokens = 0;  ///< The same of other nodes, when they said so.
   TimePoint peer_prefill_at{};     ///< When the last of them said so.
@@ -89,16 +89,16 @@
   int ejections = 0;  ///< Since the last answer; above 0 the replica is on trial.
   TimePoint ejected_until{};
   DecayingCount own_failures{Duration{1}};  ///< That this node saw.
-  double failures_of_peers = 0;             ///< That other nodes saw, by their digests.
+  double peer_failures = 0;                 ///< That other nodes saw, by their digests.
   bool pace_unreadable = false;             ///< It has stated a pace that cannot be.
   bool outlier = false;                     ///< It fails far more often than the others.
 
   /// @return failures lately, of all nodes.
-  double failures(TimePoint now) const { return own_failures.value(now) + failures_of_peers; }
+  double failures(TimePoint now) const { return own_failures.value(now) + peer_failures; }
   /// @return online requests in flight there, of all nodes.
-  int all_online() const { return online + of_peers - batch_of_peers; }
+  int all_online() const { return online + peer_in_flight - peer_batch; }
   /// @return items in flight there, of all nodes.
-  int all_batch() const { return batch + batch_of_peers; }
+  int all_batch() const { return batch + peer_batch; }
   /// @return requests estimated to run or wait there.
   int load(TimePoint now) const;
   /// @return whether it lately turned a request away for want of a slot.
@@ -118,7 +118,7 @@
   /// The replica has started again: this life of it is over, and so is what is in flight there.
   void end_incarnation(const std::string& id, TimePoint now);
   /// @return whether `end_life` was called for the id lately.
-  bool incarnation_ended(const std::string& id) const { return ended_lives_.contains(id); }
+  bool incarnation_ended(const std::string& id) const { return ended_incarnations_.contains(id); }
   /// Removes every replica that `ids` does not hold.
   void retain(const std::vector<std::string>& ids);
 
@@ -154,7 +154,7 @@
   /// @return nodes whose digests count.
   std::size_t peers() const { return peers_.size(); }
   /// @return batch items that those nodes run or have to run.
-  std::int64_t peer_pending_items() const { return pending_items_of_peers_; }
+  std::int64_t peer_pending_items() const { return peer_pending_items_; }
   /// @return this node's requests in flight and the failures it saw, replicas without any left out.
   std::vector<LoadDigestEntry> own_load(TimePoint now) const;
 
@@ -203,7 +203,7 @@
   /// Adds (`sign` 1) or takes off (-1) what a peer has told.
   void count_peer_load(const PeerLoad& peer, int sign, TimePoint now);
   /// Copies what peers have there to the replica, if it is known.
-  void show_peer_sum(std::uint32_t key);
+  void copy_peer_sum(std::uint32_t key);
   void forget_key(const Replica& replica);
   double prefill_left(double tokens, TimePoint since, TimePoint now) const;
 
@@ -213,10 +213,10 @@
   std::unordered_map<std::uint32_t, Replica*>
       by_key_;                                         ///< Of `replicas_`, whose places are stable.
   std::unordered_map<std::uint32_t, PeerLoad> peers_;  ///< By node_key.
-  std::int64_t pending_items_of_peers_ = 0;            ///< Their sum.
+  std::int64_t peer_pending_items_ = 0;                ///< Their sum.
   std::unordered_map<std::uint32_t, PeerSum> peer_sums_;  ///< By the replica's key.
   std::map<std::string, TimePoint>
-      ended_lives_;  ///< Of late, and when they were learnt to be over.
+      ended_incarnations_;  ///< Of late, and when they were learnt to be over.
   ZoneEvacuations evacuations_;
   std::uint64_t revision_ = 1;
 };
--- a/include/dockpoint/routing/replica_pace.hpp
+++ b/include/dockpoint/routing/replica_pace.hpp
@@ -72,7 +72,7 @@
   /// The replica has stated its factor for this moment in an answer.
   void stated(std::uint32_t replica_key, double factor, TimePoint now);
   /// Another node has told what it has learnt.
-  void told(std::uint32_t node, const std::vector<PaceEntry>& entries, TimePoint now);
+  void add_peer_paces(std::uint32_t node, const std::vector<PaceEntry>& entries, TimePoint now);
 
   /// @return the factor that is expected of a run that starts now; 1 if nothing is known.
   double expected(std::uint32_t replica_key, TimePoint now) const;
@@ -93,17 +93,17 @@
     double deviation = 0;  ///< Mean absolute distance of a sample.
     int samples = 0;
   };
-  struct Word {
+  struct PeerLevel {
     double value = 0;  ///< Logarithm of a step's time.
     TimePoint received{};
   };
-  struct Known {
+  struct ReplicaState {
     std::string service;
-    Level step;                           ///< Of this node's runs, logarithm of microseconds.
-    std::map<std::uint32_t, Word> words;  ///< Of other nodes, by their key.
-    double stated = 0;                    ///< Logarithm of the factor stated last.
-    double stated_usually = 0;            ///< What `stated` mostly is.
-    std::optional<TimePoint> stated_at;   ///< Of `stated`.
+    Level step;  ///< Of this node's runs, logarithm of microseconds.
+    std::map<std::uint32_t, PeerLevel> peer_levels;  ///< Of other nodes, by their key.
+    double stated = 0;                               ///< Logarithm of the factor stated last.
+    double stated_usually = 0;                       ///< What `stated` mostly is.
+    std::optional<TimePoint> stated_at;              ///< Of `stated`.
     double usual = 1;
     bool differs = false;  ///< Clearly from the middle.
   };
@@ -112,14 +112,14 @@
     bool differ = false;   ///< Its replicas are known not to be alike.
   };
 
-  bool learnt(const Known& known) const;
+  bool learnt(const ReplicaState& known) const;
   /// @return the middle of the words about a replica, the service's own middle counting as one.
-  double agreed(const Known& known, double middle) const;
-  void update_service(const std::vector<Known*>& replicas, Service& service);
-  PaceClass class_of(const Known& known) const;
+  double consensus_distance(const ReplicaState& known, double middle) const;
+  void update_service(const std::vector<ReplicaState*>& replicas, Service& service);
+  PaceClass class_of(const ReplicaState& known) const;
 
   const Knobs& knobs_;
-  std::unordered_map<std::uint32_t, Known> replicas_;
+  std::unordered_map<std::uint32_t, ReplicaState> replicas_;
   std::map<std::string, Service> services_;
   TimePoint next_report_{};
 };
--- a/include/dockpoint/routing/replica_selector.hpp
+++ b/include/dockpoint/routing/replica_selector.hpp
@@ -102,7 +102,8 @@
   Candidate own_slot(const ReplicaQuery& query, const std::vector<PrefixStep>& steps,
                      TimePoint now);
   /// Counts the choice.
-  ReplicaChoice take(const std::string& service, const Candidate& candidate, TimePoint now);
+  ReplicaChoice record_choice(const std::string& service, const Candidate& candidate,
+                              TimePoint now);
   /// @return whether the replica has answered well enough lately.
   bool trusted(const Replica& replica, TimePoint now) const;
   /// @return whether a request may go to the replica, whatever its load.
--- a/include/dockpoint/routing/slot_shares.hpp
+++ b/include/dockpoint/routing/slot_shares.hpp
@@ -54,11 +54,12 @@
   /// @return this node's own slots at the replicas of a service, as the directory has them; none if
   /// the service has too few slots to give every node a unit, or so many that a deal would hold the
   /// event loop up, see `Knobs::slot_share_work`.
-  const std::vector<SlotShare>& of(const std::string& service, const ReplicaDirectory& directory);
+  const std::vector<SlotShare>& shares_for(const std::string& service,
+                                           const ReplicaDirectory& directory);
   /// @return this node's own slots, of the services that were asked for.
   int own_slots() const;
   /// @return nodes that share the replicas.
-  std::size_t holders() const { return known_.size(); }
+  std::size_t holders() const { return members_.size(); }
 
  private:
   struct Holder {
@@ -66,20 +67,20 @@
     std::size_t zone = 0;  ///< Its place in `zones_`.
     bool own = false;
   };
-  struct Deal {
+  struct Assignment {
     std::uint64_t directory_revision = 0;  ///< That it was computed from.
     std::set<std::string> evacuated;       ///< Zones that were.
     std::vector<SlotShare> shares;
   };
 
-  std::vector<SlotShare> deal(const std::vector<const Replica*>& replicas) const;
+  std::vector<SlotShare> assign_units(const std::vector<const Replica*>& replicas) const;
 
   const Knobs& knobs_;
   const std::string node_;
-  std::vector<SlotHolder> known_;  ///< As they were given.
+  std::vector<SlotHolder> members_;  ///< As they were given.
   std::vector<Holder> holders_;
   std::vector<std::string> zones_;
-  std::unordered_map<std::string, Deal> deals_;  ///< By service.
+  std::unordered_map<std::string, Assignment> assignments_;  ///< By service.
 };
 
 }  // namespace dockpoint
--- a/src/routing/cold_replica_limiter.cpp
+++ b/src/routing/cold_replica_limiter.cpp
@@ -12,7 +12,7 @@
 constexpr double kBurst = 1.0;
 
 /// Buckets kept before full ones are dropped; a bucket that is missing is a full one.
-constexpr std::size_t kMostBuckets = 1024;
+constexpr std::size_t kMaxBuckets = 1024;
 
 double seconds_between(TimePoint from, TimePoint to) {
   return std::chrono::duration<double>(to - from).count();
@@ -31,11 +31,11 @@
 }
 
 double ColdReplicaLimiter::sender_rate(const std::string& service) const {
-  constexpr double kLeastRate = 0.1;  // A request in 10 s where the bound leaves no room at all.
+  constexpr double kMinRate = 0.1;  // A request in 10 s where the bound leaves no room at all.
   const auto senders = static_cast<double>(knobs_.cold_senders);
   const double carried = rate_of(service);
   const double allowed = carried * bound_.overage + bound_.slack;
-  return std::max(kLeastRate, std::min(carried / senders, allowed / (2 * senders) - kBurst));
+  return std::max(kMinRate, std::min(carried / senders, allowed / (2 * senders) - kBurst));
 }
 
 void ColdReplicaLimiter::set_members(std::vector<std::string> members) {
@@ -84,7 +84,7 @@
   if (rate_of(service) <= 0) {
     return;
   }
-  if (buckets_.size() >= kMostBuckets) {
+  if (buckets_.size() >= kMaxBuckets) {
     std::erase_if(buckets_,
                   [&](const auto& entry) { return tokens(service, entry.first, now) >= kBurst; });
   }
--- a/src/routing/replica_directory.cpp
+++ b/src/routing/replica_directory.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kReportFresh = std::chrono::milliseconds(400);
 
 /// Ended lives are remembered until every request that was in flight there has been told.
-constexpr Duration kEndedLifeMemory = std::chrono::seconds(10);
+constexpr Duration kEndedIncarnationMemory = std::chrono::seconds(10);
 
 std::uint32_t digest_key(const std::string& id) {
   return static_cast<std::uint32_t>(hash64(id));
@@ -28,7 +28,7 @@
 }
 
 int Replica::load(TimePoint now) const {
-  const int seen = online + batch + of_peers;
+  const int seen = online + batch + peer_in_flight;
   const int counted = full(now) ? std::max(seen, record.slots) : seen;
   if (reported.waiting > 0 && now - reported_at < kReportFresh) {
     return std::max(counted, reported.running + reported.waiting);
@@ -50,7 +50,7 @@
   if (added) {
     by_key_[replica.key] = &replica;
     paces_.add(replica.key, record.service);
-    show_peer_sum(replica.key);
+    copy_peer_sum(replica.key);
   }
 }
 
@@ -65,9 +65,9 @@
 
 void ReplicaDirectory::end_incarnation(const std::string& id, TimePoint now) {
   remove(id);
-  std::erase_if(ended_lives_,
-                [&](const auto& entry) { return now - entry.second > kEndedLifeMemory; });
-  ended_lives_[id] = now;
+  std::erase_if(ended_incarnations_,
+                [&](const auto& entry) { return now - entry.second > kEndedIncarnationMemory; });
+  ended_incarnations_[id] = now;
 }
 
 void ReplicaDirectory::retain(const std::vector<std::string>& ids) {
@@ -178,7 +178,7 @@
     count_peer_load(peer, -1, now);
     peer = {digest.entries, digest.pending_items, now, now};
     count_peer_load(peer, 1, now);
-    paces_.told(digest.node, digest.paces, now);
+    paces_.add_peer_paces(digest.node, digest.paces, now);
   }
 }
 
@@ -241,7 +241,7 @@
 }
 
 void ReplicaDirectory::count_peer_load(const PeerLoad& peer, int sign, TimePoint now) {
-  pending_items_of_peers_ += sign * static_cast<std::int64_t>(peer.pending_items);
+  peer_pending_items_ += sign * static_cast<std::int64_t>(peer.pending_items);
   for (const LoadDigestEntry& entry : peer.entries) {
     PeerSum& sum = peer_sums_[entry.replica_key];
     sum.in_flight += sign * static_cast<int>(entry.in_flight);
@@ -252,11 +252,11 @@
     const double before = prefill_left(sum.prefill_tokens, sum.prefill_at, now);
     sum.prefill_tokens = std::max(0.0, before + sign * left);
     sum.prefill_at = now;
-    show_peer_sum(entry.replica_key);
+    copy_peer_sum(entry.replica_key);
   }
 }
 
-void ReplicaDirectory::show_peer_sum(std::uint32_t key) {
+void ReplicaDirectory::copy_peer_sum(std::uint32_t key) {
   const auto found = peer_sums_.find(key);
   const PeerSum sum = found == peer_sums_.end() ? PeerSum{} : found->second;
   if (found != peer_sums_.end() && sum.in_flight == 0 && sum.failures == 0 &&
@@ -267,9 +267,9 @@
   if (replica == by_key_.end()) {
     return;
   }
-  replica->second->of_peers = sum.in_flight;
-  replica->second->batch_of_peers = sum.batch;
-  replica->second->failures_of_peers = sum.failures;
+  replica->second->peer_in_flight = sum.in_flight;
+  replica->second->peer_batch = sum.batch;
+  replica->second->peer_failures = sum.failures;
   replica->second->peer_prefill_tokens = sum.prefill_tokens;
   replica->second->peer_prefill_at = sum.prefill_at;
 }
--- a/src/routing/replica_pace.cpp
+++ b/src/routing/replica_pace.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 /// A sample counts for no more than so many times the usual distance from the level.
-constexpr double kLargestStep = 2.5;
+constexpr double kMaxDeviations = 2.5;
 /// Distance of samples that is assumed at first, and the least one later; logarithmic.
-constexpr double kFirstDeviation = 0.3;
-constexpr double kLeastDeviation = 0.05;
+constexpr double kInitialDeviation = 0.3;
+constexpr double kMinDeviation = 0.05;
 /// A replica whose factor differs from 1 goes on to do so down to this share of what it took,
 /// logarithmic: one near the bound does not go to and fro.
-constexpr double kKeptShare = 0.6;
+constexpr double kHysteresisShare = 0.6;
 /// Standard errors by which a level has to differ from the middle.
 constexpr double kCertainErrors = 2.5;
 
@@ -41,7 +41,7 @@
 }
 
 void ReplicaPaces::add(std::uint32_t replica_key, const std::string& service) {
-  Known known;
+  ReplicaState known;
   known.service = service;
   replicas_[replica_key] = std::move(known);
 }
@@ -69,11 +69,11 @@
   Level& level = found->second.step;
   const double sample = std::log(microseconds);
   if (level.samples++ == 0) {
-    level = {sample, kFirstDeviation, 1};
+    level = {sample, kInitialDeviation, 1};
     return;
   }
   const double weight = 1.0 / std::min<double>(level.samples, knobs_.pace_memory_runs);
-  const double most = kLargestStep * std::max(level.deviation, kLeastDeviation);
+  const double most = kMaxDeviations * std::max(level.deviation, kMinDeviation);
   const double distance = std::clamp(sample - level.value, -most, most);
   level.value += weight * distance;
   level.deviation += weight * (std::abs(distance) - level.deviation);
@@ -84,7 +84,7 @@
   if (found == replicas_.end() || !(factor > 0)) {
     return;
   }
-  Known& known = found->second;
+  ReplicaState& known = found->second;
   const double limit = std::log(knobs_.pace_limit);
   known.stated = std::clamp(std::log(factor), -limit, limit);
   known.stated_at = now;
@@ -93,15 +93,16 @@
   known.stated_usually += std::clamp(known.stated - known.stated_usually, -most, most);
 }
 
-void ReplicaPaces::told(std::uint32_t node, const std::vector<PaceEntry>& entries, TimePoint now) {
+void ReplicaPaces::add_peer_paces(std::uint32_t node, const std::vector<PaceEntry>& entries,
+                                  TimePoint now) {
   for (const PaceEntry& entry : entries) {
     const auto found = replicas_.find(entry.replica_key);
     if (found == replicas_.end() || entry.step_us == 0) {
       continue;
     }
-    auto& words = found->second.words;
-    if (words.size() < knobs_.pace_words || words.contains(node)) {
-      words[node] = {std::log(entry.step_us), now};
+    auto& peer_levels = found->second.peer_levels;
+    if (peer_levels.size() < knobs_.pace_words || peer_levels.contains(node)) {
+      peer_levels[node] = {std::log(entry.step_us), now};
     }
   }
 }
@@ -111,7 +112,7 @@
   if (found == replicas_.end()) {
     return 1;
   }
-  const Known& known = found->second;
+  const ReplicaState& known = found->second;
   if (!known.stated_at) {
     return known.usual;
   }
@@ -127,14 +128,14 @@
   return found == replicas_.end() ? 1 : found->second.usual;
 }
 
-bool ReplicaPaces::learnt(const Known& known) const {
+bool ReplicaPaces::learnt(const ReplicaState& known) const {
   return known.step.samples >= knobs_.pace_least_runs;
 }
 
-double ReplicaPaces::agreed(const Known& known, double middle) const {
+double ReplicaPaces::consensus_distance(const ReplicaState& known, double middle) const {
   std::vector<double> distances{0};
-  for (const auto& [node, word] : known.words) {
-    distances.push_back(word.value - middle);
+  for (const auto& [node, peer_level] : known.peer_levels) {
+    distances.push_back(peer_level.value - middle);
   }
   std::sort(distances.begin(), distances.end());
   const double upper = distances[distances.size() / 2];
@@ -143,10 +144,10 @@
 }
 
 std::vector<PaceChange> ReplicaPaces::update(TimePoint now) {
-  std::map<std::string, std::vector<Known*>> by_service;
+  std::map<std::string, std::vector<ReplicaState*>> by_service;
   std::map<std::uint32_t, PaceClass> before;
   for (auto& [key, known] : replicas_) {
-    std::erase_if(known.words, [&](const auto& entry) {
+    std::erase_if(known.peer_levels, [&](const auto& entry) {
       return now - entry.second.received > knobs_.pace_word_lifetime;
     });
     before[key] = class_of(known);
@@ -157,7 +158,7 @@
   }
   std::vector<PaceChange> changes;
   for (const auto& [key, former] : before) {
-    const Known& known = replicas_.at(key);
+    const ReplicaState& known = replicas_.at(key);
     if (class_of(known) != former) {
       changes.push_back({key, former, class_of(known), known.usual});
     }
@@ -165,39 +166,39 @@
   return changes;
 }
 
-void ReplicaPaces::update_service(const std::vector<Known*>& replicas, Service& service) {
-  std::set<std::uint32_t> tellers;
-  for (const Known* known : replicas) {
-    for (const auto& [node, word] : known->words) {
-      tellers.insert(node);
+void ReplicaPaces::update_service(const std::vector<ReplicaState*>& replicas, Service& service) {
+  std::set<std::uint32_t> reporting_nodes;
+  for (const ReplicaState* known : replicas) {
+    for (const auto& [node, peer_level] : known->peer_levels) {
+      reporting_nodes.insert(node);
     }
   }
   // One node alone does not say where the middle is.
   std::vector<double> levels;
-  for (const Known* known : replicas) {
+  for (const ReplicaState* known : replicas) {
     if (learnt(*known)) {
       levels.push_back(known->step.value);
-    } else if (tellers.size() > 1 && !known->words.empty()) {
-      std::vector<double> words;
-      for (const auto& [node, word] : known->words) {
-        words.push_back(word.value);
+    } else if (reporting_nodes.size() > 1 && !known->peer_levels.empty()) {
+      std::vector<double> peer_levels;
+      for (const auto& [node, peer_level] : known->peer_levels) {
+        peer_levels.push_back(peer_level.value);
       }
-      levels.push_back(median(std::move(words)));
+      levels.push_back(median(std::move(peer_levels)));
     }
   }
   const double middle = levels.empty() ? 0 : median(levels);
   const double limit = std::log(knobs_.pace_limit);
   const double clear = std::log(knobs_.pace_clear_factor);
   service.differ = false;
-  for (Known* known : replicas) {
-    double distance = agreed(*known, middle);
+  for (ReplicaState* known : replicas) {
+    double distance = consensus_distance(*known, middle);
     double error = 0;
     if (learnt(*known)) {
       distance = known->step.value - middle;
       const double runs = std::min(known->step.samples, knobs_.pace_memory_runs);
       error = kCertainErrors * known->step.deviation / std::sqrt(runs);
     }
-    const double bound = known->differs ? kKeptShare * clear : std::max(clear, error);
+    const double bound = known->differs ? kHysteresisShare * clear : std::max(clear, error);
     known->differs = std::abs(distance) >= bound;
     known->usual = known->differs ? std::exp(std::clamp(distance, -limit, limit)) : 1;
     service.differ = service.differ || known->differs;
@@ -228,7 +229,7 @@
   return entries;
 }
 
-PaceClass ReplicaPaces::class_of(const Known& known) const {
+PaceClass ReplicaPaces::class_of(const ReplicaState& known) const {
   if (!known.differs) {
     return PaceClass::kUsual;
   }
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -34,7 +34,7 @@
   }
   const std::vector<PrefixStep> steps = steps_of(query.prompt);
   if (const Candidate own = own_slot(query, steps, now); own.replica != nullptr) {
-    return take(query.service, own, now);
+    return record_choice(query.service, own, now);
   }
   const auto home_keys = homes(directory_.ready(query.service), steps);
   const double prompt_tokens = steps.empty() ? 0 : steps.back().tokens;
@@ -59,11 +59,11 @@
       best = &candidate;
     }
   }
-  return take(query.service, *best, now);
+  return record_choice(query.service, *best, now);
 }
 
-ReplicaChoice ReplicaSelector::take(const std::string& service, const Candidate& candidate,
-                                    TimePoint now) {
+ReplicaChoice ReplicaSelector::record_choice(const std::string& service, const Candidate& candidate,
+                                             TimePoint now) {
   history_of(service).sends.add(now);
   if (cold_limiter_ != nullptr && now < candidate.replica->cold_until) {
     cold_limiter_->sent(service, candidate.replica->key, now);
@@ -85,7 +85,7 @@
   const double prompt_tokens = steps.empty() ? 0 : steps.back().tokens;
   Candidate best;
   double best_end_ms = 0;
-  for (const SlotShare& share : shares_->of(query.service, directory_)) {
+  for (const SlotShare& share : shares_->shares_for(query.service, directory_)) {
     const Replica* replica = directory_.find_key(share.replica_key);
     // Two replicas, of different services even, may share a key.
     const bool of_service = replica != nullptr && replica->record.service == query.service;
@@ -114,7 +114,7 @@
 
 double ReplicaSelector::unseen_requests(const std::vector<const Replica*>& open,
                                         const std::string& service, TimePoint now) const {
-  constexpr double kLeast = 0.5;
+  constexpr double kMinUnseen = 0.5;
   ArrivalObservation observation;
   for (const Replica* replica : open) {
     observation.in_flight += replica->all_online();
@@ -126,7 +126,7 @@
   observation.nodes = static_cast<double>(directory_.peers()) + 1;
   observation.prior_requests = knobs_.arrival_prior_requests;
   const Duration delay = knobs_.load_view_delay + directory_.mean_peer_age(now);
-  return std::max(kLeast, expected_arrivals(observation, delay));
+  return std::max(kMinUnseen, expected_arrivals(observation, delay));
 }
 
 double ReplicaSelector::service_ms(const std::string& service) const {
--- a/src/routing/replica_subset.cpp
+++ b/src/routing/replica_subset.cpp
@@ -53,15 +53,15 @@
 }
 
 void ReplicaSubset::assume(const std::vector<ReplicaCount>& counts) {
-  std::map<std::pair<std::string, std::string>, const ReplicaCount*> told;
+  std::map<std::pair<std::string, std::string>, const ReplicaCount*> reported;
   for (const ReplicaCount& count : counts) {
-    told[{count.service, count.zone}] = &count;
+    reported[{count.service, count.zone}] = &count;
     divide(services_[count.service], count.zone, static_cast<std::size_t>(count.replicas),
            std::max<std::size_t>(1, static_cast<std::size_t>(count.slices)), count.divided);
   }
   for (auto& [service, counted] : services_) {
     for (const auto& [zone, known] : counted.zones) {
-      if (!told.contains({service, zone}) && known.first > 0) {
+      if (!reported.contains({service, zone}) && known.first > 0) {
         divide(counted, zone, 0, 1, counted.divided);
       }
     }
--- a/src/routing/slot_shares.cpp
+++ b/src/routing/slot_shares.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Of a replica; more, from a record that is wrong, would hold the event loop up.
-constexpr int kMostSlotsDealt = 256;
+constexpr int kMaxSlotsAssigned = 256;
 
 /// Slots of one replica that are dealt together.
 struct Unit {
@@ -21,7 +21,7 @@
 std::vector<Unit> units_of(const std::vector<const Replica*>& replicas, int unit_slots) {
   std::vector<Unit> units;
   for (std::size_t index = 0; index < replicas.size(); ++index) {
-    const int slots = std::min(replicas[index]->record.slots, kMostSlotsDealt);
+    const int slots = std::min(replicas[index]->record.slots, kMaxSlotsAssigned);
     for (int first = 0; first < slots; first += unit_slots) {
       const auto number = static_cast<std::uint64_t>(first);
       units.push_back(
@@ -38,17 +38,17 @@
 }  // namespace
 
 void SlotShares::set_holders(std::vector<SlotHolder> holders) {
-  if (holders == known_) {
+  if (holders == members_) {
     return;
   }
-  known_ = std::move(holders);
-  deals_.clear();
+  members_ = std::move(holders);
+  assignments_.clear();
   holders_.clear();
   zones_.clear();
-  if (known_.size() < knobs_.slot_share_nodes) {
+  if (members_.size() < knobs_.slot_share_nodes) {
     return;
   }
-  for (const SlotHolder& holder : known_) {
+  for (const SlotHolder& holder : members_) {
     const auto zone = std::find(zones_.begin(), zones_.end(), holder.zone);
     const auto place = static_cast<std::size_t>(zone - zones_.begin());
     if (zone == zones_.end()) {
@@ -58,36 +58,35 @@
   }
 }
 
-const std::vector<SlotShare>& SlotShares::of(const std::string& service,
-                                             const ReplicaDirectory& directory) {
-  Deal& deal_of_service = deals_[service];
+const std::vector<SlotShare>& SlotShares::shares_for(const std::string& service,
+                                                     const ReplicaDirectory& directory) {
+  Assignment& assignment = assignments_[service];
   const std::set<std::string>& evacuated = directory.evacuations().zones();
-  if (deal_of_service.directory_revision != directory.revision() ||
-      deal_of_service.evacuated != evacuated) {
-    deal_of_service = {directory.revision(), evacuated, deal(directory.ready(service))};
+  if (assignment.directory_revision != directory.revision() || assignment.evacuated != evacuated) {
+    assignment = {directory.revision(), evacuated, assign_units(directory.ready(service))};
   }
-  return deal_of_service.shares;
+  return assignment.shares;
 }
 
 int SlotShares::own_slots() const {
   int slots = 0;
-  for (const auto& [service, deal_of_service] : deals_) {
-    for (const SlotShare& share : deal_of_service.shares) {
+  for (const auto& [service, assignment] : assignments_) {
+    for (const SlotShare& share : assignment.shares) {
       slots += share.slots;
     }
   }
   return slots;
 }
 
-std::vector<SlotShare> SlotShares::deal(const std::vector<const Replica*>& replicas) const {
+std::vector<SlotShare> SlotShares::assign_units(const std::vector<const Replica*>& replicas) const {
   const std::vector<Unit> units = units_of(replicas, knobs_.slot_share_unit);
   const bool too_much = units.size() * holders_.size() > knobs_.slot_share_work;
   if (holders_.empty() || units.size() < holders_.size() || too_much) {
     return {};
   }
   // Nobody gets one more than the others before all have as many as there are for everybody.
-  const std::size_t for_all = units.size() / holders_.size();
-  std::size_t dealt = 0;
+  const std::size_t units_per_holder = units.size() / holders_.size();
+  std::size_t assigned = 0;
   std::vector<std::size_t> held(holders_.size(), 0);
   std::vector<int> own(replicas.size(), 0);
   for (const Unit& unit : units) {
@@ -95,8 +94,9 @@
     const auto place = static_cast<std::size_t>(zone - zones_.begin());
     std::optional<std::size_t> best;
     std::pair<bool, std::uint64_t> best_score;
-    const std::size_t bound = dealt < for_all * holders_.size() ? for_all : for_all + 1;
-    ++dealt;
+    const std::size_t bound =
+        assigned < units_per_holder * holders_.size() ? units_per_holder : units_per_holder + 1;
+    ++assigned;
     for (std::size_t index = 0; index < holders_.size(); ++index) {
       if (held[index] >= bound) {
         continue;
--- a/tests/routing/replica_directory_test.cpp
+++ b/tests/routing/replica_directory_test.cpp
@@ -96,8 +96,8 @@
         }
       }
       if (known != nullptr &&
-          (known->of_peers != expected || known->failures_of_peers != failures)) {
-        BOOST_FAIL("step " << step << ": " << known->of_peers << " in place of " << expected);
+          (known->peer_in_flight != expected || known->peer_failures != failures)) {
+        BOOST_FAIL("step " << step << ": " << known->peer_in_flight << " in place of " << expected);
       }
     }
   }
@@ -105,8 +105,8 @@
   BOOST_TEST(directory.peers() == 0U);
   BOOST_TEST(directory.peer_pending_items() == 0);
   for (const auto& [id, replica] : directory.all()) {
-    BOOST_TEST(replica.of_peers == 0);
-    BOOST_TEST(replica.failures_of_peers == 0);
+    BOOST_TEST(replica.peer_in_flight == 0);
+    BOOST_TEST(replica.peer_failures == 0);
   }
 }
 
--- a/tests/routing/replica_pace_test.cpp
+++ b/tests/routing/replica_pace_test.cpp
@@ -45,7 +45,7 @@
   }
 };
 
-PaceEntry word(std::uint32_t replica, double factor) {
+PaceEntry peer_entry(std::uint32_t replica, double factor) {
   return {replica, static_cast<std::uint32_t>(
                        std::chrono::duration<double, std::micro>(kStep).count() * factor)};
 }
@@ -182,18 +182,18 @@
   run(1, 1.0);
   run(2, 1.0);
   run(3, 1.0);
-  paces.told(77, {word(9, 4.0)}, at(0));
+  paces.add_peer_paces(77, {peer_entry(9, 4.0)}, at(0));
   paces.update(at(0));
   BOOST_TEST(paces.usual(9) == 1.0);
-  paces.told(78, {word(9, 1.6)}, at(0));
+  paces.add_peer_paces(78, {peer_entry(9, 1.6)}, at(0));
   paces.update(at(0));
   BOOST_TEST(paces.usual(9) == 1.6, boost::test_tools::tolerance(0.02));
 }
 
 BOOST_FIXTURE_TEST_CASE(own_runs_go_before_the_word_of_others, View) {
   run_all();
-  paces.told(77, {word(5, 4.0)}, at(0));
-  paces.told(78, {word(5, 4.0)}, at(0));
+  paces.add_peer_paces(77, {peer_entry(5, 4.0)}, at(0));
+  paces.add_peer_paces(78, {peer_entry(5, 4.0)}, at(0));
   paces.update(at(0));
   BOOST_TEST(paces.usual(5) == 1.0);
 }
@@ -206,7 +206,10 @@
   paces.update(at(0));
   BOOST_TEST(paces.usual(9) == 1.0);
   for (const std::uint32_t node : {77U, 78U}) {
-    paces.told(node, {word(1, 0.6), word(2, 0.6), word(3, 1.0), word(4, 1.0), word(5, 1.0)}, at(0));
+    paces.add_peer_paces(node,
+                         {peer_entry(1, 0.6), peer_entry(2, 0.6), peer_entry(3, 1.0),
+                          peer_entry(4, 1.0), peer_entry(5, 1.0)},
+                         at(0));
   }
   paces.update(at(0));
   BOOST_TEST(paces.usual(9) == 1.6, boost::test_tools::tolerance(0.02));
@@ -219,8 +222,11 @@
   BOOST_TEST(paces.report(at(0)).size() == knobs.pace_entries);
   BOOST_TEST(paces.report(at(0) + knobs.pace_report_interval / 2).empty());
   View other;
-  other.paces.told(77, {word(9, 1.6), word(12, 1.6), word(8, 0), word(5, 1), word(4, 1)}, at(0));
-  other.paces.told(78, {word(9, 1.6), word(5, 1), word(4, 1)}, at(0));
+  other.paces.add_peer_paces(77,
+                             {peer_entry(9, 1.6), peer_entry(12, 1.6), peer_entry(8, 0),
+                              peer_entry(5, 1), peer_entry(4, 1)},
+                             at(0));
+  other.paces.add_peer_paces(78, {peer_entry(9, 1.6), peer_entry(5, 1), peer_entry(4, 1)}, at(0));
   other.paces.update(at(0));
   BOOST_TEST(other.paces.usual(9) > 1.5);
   other.paces.update(at(0) + other.knobs.pace_word_lifetime * 2);
@@ -258,9 +264,9 @@
   run(2, 1.0);
   std::vector<PaceEntry> wrong;
   for (std::uint32_t replica = 3; replica <= 9; ++replica) {
-    wrong.push_back(word(replica, 4));
+    wrong.push_back(peer_entry(replica, 4));
   }
-  paces.told(1, wrong, at(0));
+  paces.add_peer_paces(1, wrong, at(0));
   paces.update(at(0));
   BOOST_TEST(paces.usual(1) == 1);
   BOOST_TEST(paces.usual(2) == 1);
--- a/tests/routing/replica_subset_test.cpp
+++ b/tests/routing/replica_subset_test.cpp
@@ -131,22 +131,22 @@
     source.remove("lm", fleet.zone_of(index));
   }
   BOOST_TEST(source.slices() == slices);  // One that counts 5,200 anew divides into half as many.
-  ReplicaSubset told("a", "node-3");
-  told.assume(source.counts());
-  BOOST_TEST(told.slices() == slices);
-  BOOST_TEST(told.replicas() == source.replicas());
+  ReplicaSubset follower("a", "node-3");
+  follower.assume(source.counts());
+  BOOST_TEST(follower.slices() == slices);
+  BOOST_TEST(follower.replicas() == source.replicas());
   const std::uint64_t node = hash64("node-3");
   for (std::size_t index = 0; index < fleet.names.size(); ++index) {
     const std::string& zone = fleet.zone_of(index);
-    BOOST_TEST(told.contains("lm", zone, fleet.names[index]) ==
+    BOOST_TEST(follower.contains("lm", zone, fleet.names[index]) ==
                source.contains_for(node, "lm", zone, fleet.names[index]));
   }
-  const std::uint64_t widened = told.widened();
+  const std::uint64_t widened = follower.widened();
   ReplicaSubset anew("a", "other source");
   Fleet(5'200).add_to(anew);
   BOOST_TEST(anew.slices() < slices);
-  told.assume(anew.counts());
-  BOOST_TEST(told.widened() > widened);
+  follower.assume(anew.counts());
+  BOOST_TEST(follower.widened() > widened);
 }
 
 BOOST_AUTO_TEST_CASE(removing_more_than_was_there_changes_nothing) {
--- a/tests/routing/slot_shares_test.cpp
+++ b/tests/routing/slot_shares_test.cpp
@@ -30,7 +30,7 @@
   std::vector<SlotShare> shares_of(int node, const std::vector<SlotHolder>& holders) const {
     SlotShares shares(knobs, "n" + std::to_string(node));
     shares.set_holders(holders);
-    return shares.of("lm", directory);
+    return shares.shares_for("lm", directory);
   }
 };
 
@@ -145,11 +145,11 @@
   Fleet fleet(89, 8);
   SlotShares shares(fleet.knobs, "n0");
   shares.set_holders(holders(73));
-  const std::uint32_t drained = shares.of("lm", fleet.directory).front().replica_key;
+  const std::uint32_t drained = shares.shares_for("lm", fleet.directory).front().replica_key;
   ReplicaRecord record = fleet.directory.find_key(drained)->record;
   record.draining = true;
   fleet.directory.upsert(record, at(0));
-  for (const SlotShare& share : shares.of("lm", fleet.directory)) {
+  for (const SlotShare& share : shares.shares_for("lm", fleet.directory)) {
     BOOST_TEST(share.replica_key != drained);
   }
 }
