--- a/include/dockpoint/routing/replica_subset.hpp
+++ b/include/dockpoint/routing/replica_subset.hpp
@@ -60,7 +60,7 @@
   void remove(const std::string& service, const std::string& zone);
 
   /// Takes the counts and the division of a node that knows all replicas, in place of its own.
-  void assume(const std::vector<ReplicaCount>& counts);
+  void adopt_counts(const std::vector<ReplicaCount>& counts);
   /// @return what was counted.
   std::vector<ReplicaCount> counts() const;
 
--- a/src/gateway/fleet_watch.cpp
+++ b/src/gateway/fleet_watch.cpp
@@ -321,7 +321,7 @@
   }
   if (counts_told_ && (whole || !relays)) {
     counts_told_ = false;
-    subset_.assume({});
+    subset_.adopt_counts({});
     for (auto& [name, known] : records_) {
       if (!known.replica.empty()) {
         count_replica(known);
@@ -347,7 +347,7 @@
     return;
   }
   const bool first = !std::exchange(counts_told_, true);
-  subset_.assume(counts);
+  subset_.adopt_counts(counts);
   if (first) {
     for (auto& [name, known] : records_) {
       known.counted = false;
--- a/src/routing/replica_subset.cpp
+++ b/src/routing/replica_subset.cpp
@@ -52,7 +52,7 @@
   slices_before = slices;
 }
 
-void ReplicaSubset::assume(const std::vector<ReplicaCount>& counts) {
+void ReplicaSubset::adopt_counts(const std::vector<ReplicaCount>& counts) {
   std::map<std::pair<std::string, std::string>, const ReplicaCount*> reported;
   for (const ReplicaCount& count : counts) {
     reported[{count.service, count.zone}] = &count;
--- a/tests/routing/replica_subset_test.cpp
+++ b/tests/routing/replica_subset_test.cpp
@@ -132,7 +132,7 @@
   }
   BOOST_TEST(source.slices() == slices);  // One that counts 5,200 anew divides into half as many.
   ReplicaSubset follower("a", "node-3");
-  follower.assume(source.counts());
+  follower.adopt_counts(source.counts());
   BOOST_TEST(follower.slices() == slices);
   BOOST_TEST(follower.replicas() == source.replicas());
   const std::uint64_t node = hash64("node-3");
@@ -145,7 +145,7 @@
   ReplicaSubset anew("a", "other source");
   Fleet(5'200).add_to(anew);
   BOOST_TEST(anew.slices() < slices);
-  follower.assume(anew.counts());
+  follower.adopt_counts(anew.counts());
   BOOST_TEST(follower.widened() > widened);
 }
 
