--- a/src/routing/replica_directory.cpp
+++ b/src/routing/replica_directory.cpp
@@ -11,10 +11,10 @@
 namespace dockpoint {
 namespace {
 
-/// A load that a replica stated counts for this long.
+/// How long the load that a replica reported is used.
 constexpr Duration kReportFresh = std::chrono::milliseconds(400);
 
-/// Ended lives are remembered until every request that was in flight there has been told.
+/// Ended incarnations are kept until every request that was in flight there has been notified.
 constexpr Duration kEndedIncarnationMemory = std::chrono::seconds(10);
 
 std::uint32_t digest_key(const std::string& id) {
@@ -44,7 +44,7 @@
     replica.own_failures = DecayingCount(knobs_.failure_memory);
   }
   replica.record = record;
-  // It may turn cold again in the middle of its life.
+  // A replica may become cold again while it runs.
   replica.cold_until = std::max(replica.cold_until, now + record.cold_remaining);
   ++revision_;
   if (added) {
@@ -124,7 +124,7 @@
   }
   replica->own_failures.add(now);
   if (signal == ReplicaSignal::kFailed || signal == ReplicaSignal::kSilent) {
-    return;  // Its connections are good: only what all nodes see of it counts.
+    return;  // Its connections work: only outlier detection over all nodes decides.
   }
   ++replica->failures_in_row;
   if (signal == ReplicaSignal::kUnreachable ||
@@ -135,7 +135,7 @@
 
 void ReplicaDirectory::eject(Replica& replica, TimePoint now) {
   if (ejected(replica, now)) {
-    return;  // Further requests that were under way fail for the same reason.
+    return;  // Other requests that were in flight fail for the same reason.
   }
   const int doublings = std::min(replica.ejections, 10);
   const Duration time = knobs_.replica_ejection_time * (1 << doublings);
@@ -166,7 +166,7 @@
   const ReportedLoad& reported = replica->reported;
   const bool reported_now = replica->reported_at == now && reported.slots > 0;
   if (reported_now && reported.running < reported.slots) {
-    return false;  // It had another reason.
+    return false;  // It rejected the request for another reason.
   }
   replica->full_until = now + (reported_now ? kReportFresh : knobs_.replica_full_time);
   return true;
@@ -247,7 +247,7 @@
     sum.in_flight += sign * static_cast<int>(entry.in_flight);
     sum.batch += sign * static_cast<int>(std::min(entry.batch, entry.in_flight));
     sum.failures += sign * static_cast<int>(entry.failures);
-    // What was read since the peer said so does not count.
+    // Tokens prefilled since the digest arrived are no longer pending.
     const double left = prefill_left(entry.prefill_tokens, peer.received, now);
     const double before = prefill_left(sum.prefill_tokens, sum.prefill_at, now);
     sum.prefill_tokens = std::max(0.0, before + sign * left);
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -9,7 +9,7 @@
 namespace dockpoint {
 namespace {
 
-/// Beyond this exponent softplus is the identity.
+/// Above this exponent, softplus equals its argument.
 constexpr double kLargeExponent = 40;
 
 double to_milliseconds(Duration duration) {
@@ -87,7 +87,7 @@
   double best_end_ms = 0;
   for (const SlotShare& share : shares_->shares_for(query.service, directory_)) {
     const Replica* replica = directory_.find_key(share.replica_key);
-    // Two replicas, of different services even, may share a key.
+    // Keys may collide, even between replicas of different services.
     const bool of_service = replica != nullptr && replica->record.service == query.service;
     if (!of_service || replica->online >= share.slots || replica->full(now) ||
         !usable(*replica, query, now)) {
@@ -101,7 +101,7 @@
     candidate.wait_ms = wait_ms(*replica, candidate.competing_load, query.service, now);
     candidate.cost_ms = cost_ms(candidate, now);
     candidate.own_slot = true;
-    // A slot that is free again sooner is there for the next request.
+    // Prefer faster replicas: their slots become free sooner for the next request.
     const double slower = directory_.paces().expected(replica->key, now) - 1;
     const double end_ms = candidate.cost_ms + slower * service_ms(query.service);
     if (best.replica == nullptr || end_ms < best_end_ms) {
@@ -199,7 +199,7 @@
     open.push_back(replica);
   }
   if (open.empty() && query.traffic == TrafficClass::kOnline) {
-    return ready;  // Better a replica that failed lately than none.
+    return ready;  // A replica that failed recently is better than none.
   }
   return open;
 }
@@ -295,7 +295,7 @@
 double ReplicaSelector::wait_ms(const Replica& replica, double expected_load,
                                 const std::string& service, TimePoint now) const {
   const int slots = std::max(1, replica.record.slots);
-  // The load is an expectation: near the limit the request waits with some probability.
+  // The load is an expected value: near the limit, the request waits with some probability.
   const double beyond = expected_load + 1 - slots;
   const double spread = knobs_.load_uncertainty;
   const double waiting = spread * std::log1p(std::exp(std::min(beyond / spread, kLargeExponent)));
