--- a/include/dockpoint/routing/cold_replica_limiter.hpp
+++ b/include/dockpoint/routing/cold_replica_limiter.hpp
@@ -10,25 +10,28 @@
 #include "dockpoint/core/knobs.hpp"
 #include "dockpoint/core/time.hpp"
 
-/// Holds the whole fleet to the rate that a cold replica carries.
+/// Limits the request rate of the whole fleet to a cold replica.
 ///
-/// Load pattern: a zone's replicas come back together, cold, while the others are full. Every node
-/// sees empty replicas at the same moment, and a cold replica that gets much more than it carries
-/// collapses. The bound is on the sum over all nodes in any second, and there is no time to count
-/// together: the burst is over before the first digest tells of it. So few nodes, the senders, use
-/// a replica while it is cold, each at its part of the rate. Senders follow from rendezvous hashing
-/// of the members, so that all nodes agree on them without a word.
+/// Load pattern: a zone's replicas come back together, cold, while the others are full. All nodes
+/// see empty replicas at the same moment, and a cold replica that gets much more than it can serve
+/// collapses. The bound applies to the sum over all nodes in any second, and the burst is over
+/// before the first digest reports it, so nodes cannot coordinate by counts. Therefore only a few
+/// nodes, the senders, use a replica while it is cold, each with its share of the rate. Senders are
+/// selected by rendezvous hashing over the members, so that all nodes agree without communication.
 ///
-/// Members that are dead count: a node that is cut off takes all others for dead, and would take
-/// itself for the only sender of every replica. Members that have left do not. A node that expects
-/// others and knows none, as after its start, sends nothing to cold replicas. Views still differ
-/// for a while, so twice as many senders as are meant stay within the bound.
+/// Dead members are included: a partitioned node considers all others dead, and would consider
+/// itself the only sender of every replica. Members that have left are not included. A node that
+/// expects others and knows none, as after its start, sends nothing to cold replicas. Views still
+/// differ for a while, so rates are set such that twice the intended number of senders stay within
+/// the bound.
 ///
-/// An even part of the rate for every node fails where nodes outnumber it: a node may always send
-/// one, and 60 of them at once are three times the bound of a replica that carries 11 a second.
+/// An equal share of the rate for every node fails where nodes outnumber the rate: each node may
+/// send at least one request, and 60 of them at once are three times the bound of a replica that
+/// serves 11 a second.
 namespace dockpoint {
 
-/// What a cold replica may get in any second, over all nodes: rate times `overage`, plus `slack`.
+/// Bound on the requests to a cold replica in any second, over all nodes: rate times `overage`,
+/// plus `slack`.
 struct ColdBound {
   double overage = 1;
   double slack = 0;  ///< Requests.
@@ -37,22 +40,23 @@
 /// See the top of this file. Free of I/O and clocks; not thread-safe.
 class ColdReplicaLimiter {
  public:
-  /// @param node this one, by its member id.
+  /// @param node member id of this node.
   ColdReplicaLimiter(const Knobs& knobs, const ColdBound& bound, std::string node)
       : knobs_(knobs), bound_(bound), node_(std::move(node)) {}
 
-  /// Requests a second that a cold replica of each service carries; absent or 0: no limit.
+  /// Sets the requests a second that a cold replica of each service can serve; absent or 0: no
+  /// limit.
   void set_rates(std::map<std::string, double> per_second) { rates_ = std::move(per_second); }
-  /// @return whether any service states a rate; otherwise members need not be told.
+  /// @return whether any service has a rate; otherwise `set_members` need not be called.
   bool limits_any() const;
-  /// Ids of all members that have not left, dead ones and this node included.
+  /// Sets the ids of all members that have not left, including dead ones and this node.
   void set_members(std::vector<std::string> members);
-  /// @param expected whether the settings name other nodes.
+  /// @param expected whether other nodes are configured.
   void expect_others(bool expected) { others_expected_ = expected; }
 
-  /// @return whether this node may send a request to a replica that is cold now.
+  /// @return whether this node may now send a request to a cold replica.
   bool admits(const std::string& service, std::uint32_t replica_key, TimePoint now) const;
-  /// A request was sent there.
+  /// Counts a request sent to a cold replica.
   void sent(const std::string& service, std::uint32_t replica_key, TimePoint now);
 
  private:
@@ -62,10 +66,10 @@
   };
 
   double rate_of(const std::string& service) const;
-  /// @return requests a second that one sender sends to a cold replica.
+  /// @return requests a second that one sender may send to a cold replica.
   double sender_rate(const std::string& service) const;
   bool is_sender(std::uint32_t replica_key) const;
-  /// @return requests that may be sent at once.
+  /// @return tokens in the bucket of the replica, one per request.
   double tokens(const std::string& service, std::uint32_t replica_key, TimePoint now) const;
 
   const Knobs& knobs_;
@@ -74,9 +78,10 @@
   std::map<std::string, double> rates_;
   std::vector<std::string> members_;
   bool others_expected_ = false;
-  std::unordered_map<std::uint32_t, Bucket> buckets_;  ///< By replica, those sent to while cold.
+  std::unordered_map<std::uint32_t, Bucket>
+      buckets_;  ///< By replica key; only replicas that got requests.
   mutable std::unordered_map<std::uint32_t, bool>
-      sender_of_;  ///< By replica, until members change.
+      sender_of_;  ///< Cache by replica key, cleared when members change.
 };
 
 }  // namespace dockpoint
--- a/include/dockpoint/routing/replica_directory.hpp
+++ b/include/dockpoint/routing/replica_directory.hpp
@@ -78,7 +78,7 @@
   int batch = 0;           ///< Batch items of this node in flight there.
   int peer_in_flight = 0;  ///< Requests and items of other nodes in flight there, by their digests.
   int peer_batch = 0;      ///< Batch items among `peer_in_flight`.
-  double prefill_tokens = 0;       ///< Prompt tokens sent by this node and not prefilled yet.
+  double prefill_tokens = 0;       ///< Prompt tokens sent by this node, no answer byte yet.
   double peer_prefill_tokens = 0;  ///< The same for other nodes, as of `peer_prefill_at`.
   TimePoint peer_prefill_at{};     ///< When the last of their digests arrived.
   ReportedLoad reported;
--- a/include/dockpoint/routing/replica_pace.hpp
+++ b/include/dockpoint/routing/replica_pace.hpp
@@ -10,46 +10,45 @@
 #include "dockpoint/core/knobs.hpp"
 #include "dockpoint/core/time.hpp"
 
-/// How long work takes at a replica, against what is usual for its service.
+/// Relative processing time of each replica, compared with the median of its service.
 ///
 /// Load pattern: the replicas of a service differ in speed, and share their machines with other
-/// work that slows some of them down for moments. A slot of a slow replica frees later, and a queue
-/// there is longer in time than in requests.
+/// work that temporarily slows some of them down. A slot of a slow replica becomes free later, and
+/// a queue there lasts longer than its length suggests.
 ///
-/// Two things are kept apart: what is usual for the replica, which is learnt over many runs and
-/// told between nodes, and what holds at this moment, which the replica states in its answers and
-/// which is worth nothing a moment later. A factor of 1 is the middle of the service, 2 takes twice
-/// as long.
+/// Two quantities are kept separate: the usual pace, which is learnt over many runs and exchanged
+/// between nodes, and the current pace, which the replica reports in its answers and which expires
+/// quickly. A factor of 1 is the median of the service, 2 takes twice as long.
 ///
-/// Nodes tell each other times, not factors: each node sees a few replicas often and the others
-/// hardly ever, so the middle of what it has seen itself is not that of the service. One node's
-/// word about a replica that this node does not know counts for nothing, of two the milder one
-/// counts, of more the median. A factor only weighs: no replica is left out for it.
+/// Nodes exchange times, not factors: each node sees a few replicas often and the others rarely, so
+/// the median of its own samples is not that of the service. For a replica that this node has no
+/// samples of, the report of a single node is ignored, of two the one nearer to the median is used,
+/// of more the median. A factor only weights the choice: no replica is excluded because of it.
 ///
-/// The time of a step does not depend on how long a run is. It grows with the batch, which is much
-/// the same at all replicas while requests are spread over them. A run that is slowed for a moment
-/// moves what is learnt by a bounded amount.
+/// The time of a step does not depend on the length of a run. It grows with the batch size, which
+/// is similar at all replicas while requests are spread over them. The influence of a single sample
+/// on the learnt value is bounded, so a temporarily slow run has little effect.
 namespace dockpoint {
 
-/// What a node has learnt of one replica, as it travels in digests.
+/// Learnt step time of one replica, as sent in load digests.
 struct PaceEntry {
   std::uint32_t replica_key = 0;
   std::uint32_t step_us = 0;  ///< Usual time of a step there, in microseconds.
   friend bool operator==(const PaceEntry&, const PaceEntry&) = default;
 };
 
-/// What a sample measures.
+/// What a pace sample measures.
 enum class PaceSample {
   kEvent,  ///< Mean time between two events of a stream.
-  kRun,    ///< A whole run. It counts at services that answer with no stream.
+  kRun,    ///< A whole run; used only for services that do not stream.
 };
 
 enum class PaceClass { kFast, kUsual, kSlow };
 
-/// @return the class in a word, for logs and metrics.
+/// @return the name of the class for logs and metrics.
 const char* to_string(PaceClass pace);
 
-/// A replica whose usual pace differs from the middle for the first time, or otherwise than before.
+/// A change of the pace class of a replica.
 struct PaceChange {
   std::uint32_t replica_key = 0;
   PaceClass before = PaceClass::kUsual;
@@ -62,58 +61,60 @@
  public:
   explicit ReplicaPaces(const Knobs& knobs) : knobs_(knobs) {}
 
-  /// A life of a replica has begun; it starts at the middle.
+  /// Adds a replica, or resets it after a restart; its factor starts at 1.
   void add(std::uint32_t replica_key, const std::string& service);
-  /// The replica is gone.
+  /// Removes a replica.
   void forget(std::uint32_t replica_key);
 
-  /// A run of this node at the replica has shown how long a step of it takes.
+  /// Adds a sample of the step time from a run of this node at the replica.
   void observed(std::uint32_t replica_key, PaceSample kind, Duration step, TimePoint now);
-  /// The replica has stated its factor for this moment in an answer.
+  /// The replica has reported its current factor in an answer.
   void stated(std::uint32_t replica_key, double factor, TimePoint now);
-  /// Another node has told what it has learnt.
+  /// Stores the step times that another node has reported.
   void add_peer_paces(std::uint32_t node, const std::vector<PaceEntry>& entries, TimePoint now);
 
-  /// @return the factor that is expected of a run that starts now; 1 if nothing is known.
+  /// @return the expected factor of a run that starts now; 1 if nothing is known.
   double expected(std::uint32_t replica_key, TimePoint now) const;
-  /// @return the usual factor; 1 unless it clearly differs from the middle.
+  /// @return the usual factor; 1 unless it differs significantly from the median.
   double usual(std::uint32_t replica_key) const;
-  /// Brings the usual factors up to date. Call it several times a second.
+  /// Recomputes the usual factors. To be called several times a second.
   /// @return replicas whose class has changed.
   std::vector<PaceChange> update(TimePoint now);
-  /// @return what the other nodes should know now: nothing while all replicas work alike.
+  /// @return entries for the next digest: none while all replicas have the same pace, or if the
+  /// last report was sent less than `Knobs::pace_report_interval` ago.
   std::vector<PaceEntry> report(TimePoint now);
-  /// @return replicas by class.
+  /// @return number of replicas by class.
   std::map<PaceClass, int> classes() const;
 
  private:
-  /// Logarithm of a time, learnt from samples.
+  /// Mean logarithm of a time, learnt from samples.
   struct Level {
     double value = 0;
-    double deviation = 0;  ///< Mean absolute distance of a sample.
+    double deviation = 0;  ///< Mean absolute deviation of the samples.
     int samples = 0;
   };
   struct PeerLevel {
-    double value = 0;  ///< Logarithm of a step's time.
+    double value = 0;  ///< Logarithm of the step time.
     TimePoint received{};
   };
   struct ReplicaState {
     std::string service;
-    Level step;  ///< Of this node's runs, logarithm of microseconds.
-    std::map<std::uint32_t, PeerLevel> peer_levels;  ///< Of other nodes, by their key.
-    double stated = 0;                               ///< Logarithm of the factor stated last.
-    double stated_usually = 0;                       ///< What `stated` mostly is.
-    std::optional<TimePoint> stated_at;              ///< Of `stated`.
+    Level step;  ///< From this node's runs, logarithm of microseconds.
+    std::map<std::uint32_t, PeerLevel> peer_levels;  ///< Reports of other nodes, by node key.
+    double stated = 0;          ///< Logarithm of the last factor that the replica reported.
+    double stated_usually = 0;  ///< Long-term level of `stated`.
+    std::optional<TimePoint> stated_at;  ///< When `stated` was reported.
     double usual = 1;
-    bool differs = false;  ///< Clearly from the middle.
+    bool differs = false;  ///< The usual factor differs significantly from the median.
   };
   struct Service {
-    bool streams = false;  ///< Runs as a whole are not counted.
-    bool differ = false;   ///< Its replicas are known not to be alike.
+    bool streams = false;  ///< Samples of whole runs are ignored.
+    bool differ = false;   ///< At least one of its replicas differs.
   };
 
   bool learnt(const ReplicaState& known) const;
-  /// @return the middle of the words about a replica, the service's own middle counting as one.
+  /// @return the median distance of the peer reports about a replica from `middle`; `middle` itself
+  /// counts as one report.
   double consensus_distance(const ReplicaState& known, double middle) const;
   void update_service(const std::vector<ReplicaState*>& replicas, Service& service);
   PaceClass class_of(const ReplicaState& known) const;
--- a/include/dockpoint/routing/replica_selector.hpp
+++ b/include/dockpoint/routing/replica_selector.hpp
@@ -38,7 +38,7 @@
 struct ReplicaQuery {
   std::string service;
   TrafficClass traffic = TrafficClass::kOnline;
-  std::vector<PromptPart> prompt;  ///< In order; only the last part is not shared.
+  std::vector<PromptPart> prompt;  ///< In order; only this request has the last part.
   std::set<std::string> excluded;  ///< Replicas at which this request has failed.
 };
 
--- a/include/dockpoint/routing/slot_request.hpp
+++ b/include/dockpoint/routing/slot_request.hpp
@@ -7,17 +7,17 @@
 
 namespace dockpoint {
 
-/// Asks the node that runs a batch item at a replica to break it off: an online request was sent
-/// there and would wait. It may be lost, and may find that the item has ended: nothing depends on
-/// it but how long the request waits.
+/// Asks the node that runs a batch item at a replica to preempt it, because an online request was
+/// sent there and would wait. The message is best effort: it may be lost or arrive after the item
+/// has ended, which only affects how long the request waits.
 struct SlotRequest {
-  std::uint32_t replica_key = 0;  ///< Of the replica in digests.
+  std::uint32_t replica_key = 0;  ///< Key of the replica in load digests.
 };
 
-/// @return the bytes of a request; they never are those of another message between nodes.
+/// @return the encoded request, which no other message between nodes can be confused with.
 std::string encode(const SlotRequest& request);
 
-/// @return whether the bytes are meant as a request for a slot.
+/// @return whether the bytes carry the tag of a slot request.
 bool is_slot_request(std::string_view bytes);
 
 /// @return the request, or nothing if the bytes are malformed.
--- a/include/dockpoint/routing/water_filling.hpp
+++ b/include/dockpoint/routing/water_filling.hpp
@@ -5,17 +5,17 @@
 #include <span>
 #include <vector>
 
-/// Choice among replicas whose load is known too late.
+/// Randomised choice among replicas on stale load data.
 ///
-/// Load that other nodes cause is known a few hundred milliseconds after the fact. Nodes that all
-/// choose the least loaded replica of that view meet there: the more of them, the worse. So the
-/// requests that the fleet has started since are estimated and assigned by water-filling: the least
-/// loaded replicas are raised to a common level until all are assigned. A node then draws a replica
-/// with a probability in proportion to what it was assigned. With few requests unseen only the
-/// least loaded replicas are drawn; with many, all.
+/// Load that other nodes cause becomes known a few hundred milliseconds late. Nodes that all choose
+/// the least loaded replica of that view overload it: the more nodes, the worse (herd effect).
+/// Therefore the requests that the fleet has started since are estimated and distributed by
+/// water-filling: the least loaded replicas are raised to a common level until all requests are
+/// distributed. A node then draws a replica with a probability proportional to its part. With few
+/// unseen requests only the least loaded replicas are drawn; with many, all.
 ///
 /// Source: M. Dahlin, "Interpreting stale load information", IEEE Transactions on Parallel and
-/// Distributed Systems 11(10), 2000 (the "basic LI" policy), here with slots of unequal number.
+/// Distributed Systems 11(10), 2000 (the "basic LI" policy), here with unequal numbers of slots.
 namespace dockpoint {
 
 /// Known load of one replica.
@@ -24,17 +24,16 @@
   double slots = 1;  ///< Above 0.
 };
 
-/// Where requests that are not seen yet are expected.
+/// Expected distribution of unseen requests over replicas.
 class WaterFilling {
  public:
-  /// @param unseen requests, at least a small number above 0.
+  /// @param unseen number of requests not yet seen in digests; above 0.
   WaterFilling(std::span<const SlotLoad> replicas, double unseen);
 
-  /// @return requests expected at each replica beyond the known ones, in the order given.
+  /// @return expected unseen requests at each replica, in the order of the constructor argument.
   const std::vector<double>& expected() const { return expected_; }
-  /// @param preference of each replica beside others that expect as much; above 0.
-  /// @return indices of up to `count` replicas, drawn one after the other without repetition, in
-  /// that order.
+  /// @param preference weight of each replica, multiplied by its expected requests; above 0.
+  /// @return indices of up to `count` replicas, drawn without replacement, in the order drawn.
   std::vector<std::size_t> draw(std::size_t count, std::span<const double> preference,
                                 std::mt19937_64& random) const;
 
--- a/src/routing/cold_replica_limiter.cpp
+++ b/src/routing/cold_replica_limiter.cpp
@@ -8,10 +8,10 @@
 namespace dockpoint {
 namespace {
 
-/// Requests that a sender may send at once, so that a rare one does not wait.
+/// Bucket size: a sender may send one request at once, so that rare requests do not wait.
 constexpr double kBurst = 1.0;
 
-/// Buckets kept before full ones are dropped; a bucket that is missing is a full one.
+/// At this number of buckets, full ones are dropped; a missing bucket counts as full.
 constexpr std::size_t kMaxBuckets = 1024;
 
 double seconds_between(TimePoint from, TimePoint to) {
@@ -31,7 +31,7 @@
 }
 
 double ColdReplicaLimiter::sender_rate(const std::string& service) const {
-  constexpr double kMinRate = 0.1;  // A request in 10 s where the bound leaves no room at all.
+  constexpr double kMinRate = 0.1;  // One request in 10 s if the bound leaves no capacity.
   const auto senders = static_cast<double>(knobs_.cold_senders);
   const double carried = rate_of(service);
   const double allowed = carried * bound_.overage + bound_.slack;
--- a/src/routing/replica_pace.cpp
+++ b/src/routing/replica_pace.cpp
@@ -9,15 +9,16 @@
 namespace dockpoint {
 namespace {
 
-/// A sample counts for no more than so many times the usual distance from the level.
+/// Samples are clamped to this many mean deviations from the level.
 constexpr double kMaxDeviations = 2.5;
-/// Distance of samples that is assumed at first, and the least one later; logarithmic.
+/// Assumed mean deviation of the samples at first; logarithmic.
 constexpr double kInitialDeviation = 0.3;
+/// Lower bound of the mean deviation in the clamp; logarithmic.
 constexpr double kMinDeviation = 0.05;
-/// A replica whose factor differs from 1 goes on to do so down to this share of what it took,
-/// logarithmic: one near the bound does not go to and fro.
+/// Hysteresis: a replica whose factor differs from 1 keeps it down to this share of the threshold,
+/// logarithmic, so that a replica near the threshold does not oscillate.
 constexpr double kHysteresisShare = 0.6;
-/// Standard errors by which a level has to differ from the middle.
+/// Standard errors by which a level has to differ from the median to be significant.
 constexpr double kCertainErrors = 2.5;
 
 double median(std::vector<double> values) {
@@ -88,7 +89,7 @@
   const double limit = std::log(knobs_.pace_limit);
   known.stated = std::clamp(std::log(factor), -limit, limit);
   known.stated_at = now;
-  // A replica that states the same figure all the time says nothing of the moment.
+  // Only deviations from the long-term level matter: a constant value carries no information.
   const double most = 1.0 / knobs_.pace_memory_runs;
   known.stated_usually += std::clamp(known.stated - known.stated_usually, -most, most);
 }
@@ -173,7 +174,7 @@
       reporting_nodes.insert(node);
     }
   }
-  // One node alone does not say where the middle is.
+  // The reports of a single node are not used for the median of the service.
   std::vector<double> levels;
   for (const ReplicaState* known : replicas) {
     if (learnt(*known)) {
--- a/src/routing/replica_subset.cpp
+++ b/src/routing/replica_subset.cpp
@@ -7,10 +7,10 @@
 namespace dockpoint {
 namespace {
 
-/// A service that is divided stays so down to this share of the limit, in tenths.
+/// Hysteresis: a divided service stays divided down to this share of `kUndivided`, in tenths.
 constexpr std::size_t kUndividedAgainTenths = 7;
 
-/// Replicas are hashed apart from nodes: their names may be alike.
+/// Replicas are hashed with a seed of their own, as nodes may have the same names.
 constexpr std::uint64_t kReplicaSeed = 0x5ee7;
 
 }  // namespace
--- a/src/routing/slot_request.cpp
+++ b/src/routing/slot_request.cpp
@@ -5,7 +5,7 @@
 namespace dockpoint {
 namespace {
 
-/// First byte of a request; in MessagePack a message between nodes never begins with it.
+/// First byte of a slot request; no other message between nodes, all MessagePack, begins with it.
 constexpr char kSlotRequestTag = '\xc3';
 
 struct SlotRequestWire {
--- a/src/routing/slot_shares.cpp
+++ b/src/routing/slot_shares.cpp
@@ -8,13 +8,13 @@
 namespace dockpoint {
 namespace {
 
-/// Of a replica; more, from a record that is wrong, would hold the event loop up.
+/// Limit per replica: a wrong record with more slots would block the event loop.
 constexpr int kMaxSlotsAssigned = 256;
 
-/// Slots of one replica that are dealt together.
+/// Slots of one replica that are assigned together.
 struct Unit {
   std::uint64_t hash = 0;
-  std::size_t replica = 0;  ///< Its place among the replicas dealt.
+  std::size_t replica = 0;  ///< Index of the replica.
   int slots = 0;
 };
 
@@ -28,8 +28,8 @@
           {combine_hash(replicas[index]->key, number), index, std::min(unit_slots, slots - first)});
     }
   }
-  // Units take their places in the order of their hashes, so that the bound strikes few of them
-  // anew when a replica comes or goes.
+  // Units are assigned in the order of their hashes, so that few of them are moved by the bound
+  // when a replica is added or removed.
   std::sort(units.begin(), units.end(),
             [](const Unit& left, const Unit& right) { return left.hash < right.hash; });
   return units;
@@ -84,7 +84,7 @@
   if (holders_.empty() || units.size() < holders_.size() || too_much) {
     return {};
   }
-  // Nobody gets one more than the others before all have as many as there are for everybody.
+  // The bound rises by one only after every holder has the units that all can have.
   const std::size_t units_per_holder = units.size() / holders_.size();
   std::size_t assigned = 0;
   std::vector<std::size_t> held(holders_.size(), 0);
--- a/src/routing/water_filling.cpp
+++ b/src/routing/water_filling.cpp
@@ -13,7 +13,7 @@
   const auto fill = [&](std::size_t index) { return replicas[index].load / replicas[index].slots; };
   std::sort(by_fill.begin(), by_fill.end(),
             [&](std::size_t left, std::size_t right) { return fill(left) < fill(right); });
-  // The level rises from replica to replica until all requests are under it.
+  // Raises the level replica by replica until all requests fit under it.
   double level = 0;
   double width = 0;
   double loaded = 0;
