--- a/tests/routing/cold_replica_limiter_test.cpp
+++ b/tests/routing/cold_replica_limiter_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr double kCarried = 11;      // Requests a second.
-constexpr ColdBound kBound{1.5, 5};  // So 21.5 in any second.
+constexpr double kColdRate = 11;     // Requests a second.
+constexpr ColdBound kBound{1.5, 5};  // 21.5 requests in any second.
 constexpr std::int64_t kStepMs = 10;
 constexpr std::int64_t kRunMs = 5'000;
 
@@ -21,12 +21,12 @@
   return "node-" + std::to_string(node);
 }
 
-/// What nodes believe of each other.
+/// Membership views of the nodes.
 enum class View {
   kWhole,
-  kPartly,  ///< Each node misses a twentieth of the others.
-  kHalves,  ///< Two halves that were cut off and count each other for dead.
-  kNobody,  ///< All have just started.
+  kIncomplete,   ///< Each node lacks a twentieth of the others.
+  kPartitioned,  ///< Two halves that consider each other dead; all are members.
+  kEmpty,        ///< All nodes have just started and know only themselves.
 };
 
 struct Fleet {
@@ -34,11 +34,12 @@
     std::mt19937_64 random(seed);
     for (std::size_t node = 0; node < nodes; ++node) {
       ColdReplicaLimiter& limiter = limiters.emplace_back(knobs, kBound, name_of(node));
-      limiter.set_rates({{"lm", kCarried}});
+      limiter.set_rates({{"lm", kColdRate}});
       limiter.expect_others(nodes > 1);
       std::vector<std::string> members;
       for (std::size_t other = 0; other < nodes; ++other) {
-        const bool missed = view == View::kNobody || (view == View::kPartly && random() % 20 == 0);
+        const bool missed =
+            view == View::kEmpty || (view == View::kIncomplete && random() % 20 == 0);
         if (other == node || !missed) {
           members.push_back(name_of(other));
         }
@@ -47,7 +48,8 @@
     }
   }
 
-  /// All nodes send as much to one replica as they may. @return the most in any second.
+  /// All nodes send as many requests to one replica as admitted.
+  /// @return the maximum of requests in any second.
   std::size_t worst_second(std::uint32_t replica) {
     std::vector<std::int64_t> sends;
     for (std::int64_t now = 0; now < kRunMs; now += kStepMs) {
@@ -70,16 +72,17 @@
   std::deque<ColdReplicaLimiter> limiters;
 };
 
-const double kAllowed = kCarried * kBound.overage + kBound.slack;
+const double kAllowed = kColdRate * kBound.overage + kBound.slack;
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(cold_replica_limiter)
 
-// A zone comes back cold while all nodes look for room at once.
-BOOST_AUTO_TEST_CASE(all_nodes_together_stay_within_the_bound_at_any_size) {
+// Guards against a collapse of cold replicas: a zone comes back cold, and all nodes send requests
+// to it at once.
+BOOST_AUTO_TEST_CASE(the_fleet_stays_within_the_bound_at_any_size) {
   for (const std::size_t nodes : {1, 3, 60, 300, 1000}) {
-    for (const View view : {View::kWhole, View::kPartly, View::kHalves, View::kNobody}) {
+    for (const View view : {View::kWhole, View::kIncomplete, View::kPartitioned, View::kEmpty}) {
       Fleet fleet(nodes, view, nodes);
       std::size_t worst = 0;
       for (std::uint32_t replica = 1; replica <= 10; ++replica) {
@@ -88,19 +91,19 @@
       BOOST_TEST(static_cast<double>(worst) <= kAllowed,
                  nodes << " nodes, view " << static_cast<int>(view) << ": " << worst);
       if (view == View::kWhole) {
-        BOOST_TEST(worst >= 4U, nodes << " nodes: " << worst);  // It is used, too.
+        BOOST_TEST(worst >= 4U, nodes << " nodes: " << worst);  // The replica is used.
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(without_senders_a_request_from_each_node_breaks_the_bound) {
+BOOST_AUTO_TEST_CASE(one_request_from_each_node_would_exceed_the_bound) {
   Fleet fleet(60, View::kWhole, 1);
   fleet.knobs.cold_senders = 60;
   BOOST_TEST(static_cast<double>(fleet.worst_second(7919)) > kAllowed);
 }
 
-BOOST_AUTO_TEST_CASE(a_service_that_states_no_rate_is_not_limited) {
+BOOST_AUTO_TEST_CASE(a_service_without_a_rate_is_not_limited) {
   Fleet fleet(3, View::kWhole, 1);
   for (int request = 0; request < 100; ++request) {
     BOOST_TEST(fleet.limiters.front().admits("api", 5, at(0)));
@@ -108,24 +111,24 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_has_just_started_sends_nothing_until_it_knows_others) {
-  Fleet fleet(3, View::kNobody, 1);
+BOOST_AUTO_TEST_CASE(a_started_node_sends_nothing_until_it_knows_other_members) {
+  Fleet fleet(3, View::kEmpty, 1);
   BOOST_TEST(!fleet.limiters.front().admits("lm", 5, at(0)));
   ColdReplicaLimiter alone(fleet.knobs, kBound, "alone");
-  alone.set_rates({{"lm", kCarried}});
+  alone.set_rates({{"lm", kColdRate}});
   alone.set_members({"alone"});
   BOOST_TEST(alone.admits("lm", 5, at(0)));
 }
 
-// The selector goes by it, for requests and items, also where no other replica is left.
-BOOST_AUTO_TEST_CASE(a_cold_replica_gets_its_rate_and_a_warm_one_the_rest) {
+// The selector applies the limit to requests and items, even if no other replica is left.
+BOOST_AUTO_TEST_CASE(selector_limits_a_cold_replica_and_sends_the_rest_to_a_warm_one) {
   Knobs knobs;
   ReplicaDirectory directory(knobs);
   directory.upsert({"warm", "lm", {"10.0.0.1", 80}, "zone-a", 8, false, {}}, at(0));
   directory.upsert({"cold", "lm", {"10.0.0.2", 80}, "zone-a", 8, false, std::chrono::seconds(3)},
                    at(0));
   ColdReplicaLimiter limiter(knobs, kBound, "node");
-  limiter.set_rates({{"lm", kCarried}});
+  limiter.set_rates({{"lm", kColdRate}});
   limiter.set_members({"node"});
   ReplicaSelector selector(knobs, directory, "zone-a", 1);
   selector.limit_cold_replicas(limiter);
@@ -147,7 +150,7 @@
   BOOST_TEST(selector.choose({"lm", TrafficClass::kOnline, {}, {}}, at(4'000)).replica != nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_may_turn_cold_in_the_middle_of_its_life) {
+BOOST_AUTO_TEST_CASE(a_running_replica_may_become_cold_again) {
   Knobs knobs;
   ReplicaDirectory directory(knobs);
   ReplicaRecord record{"r1", "lm", {"10.0.0.1", 80}, "zone-a", 8, false, {}};
--- a/tests/routing/placement_replay_test.cpp
+++ b/tests/routing/placement_replay_test.cpp
@@ -12,11 +12,11 @@
 using namespace dockpoint;
 using dockpoint::test::at;
 
-/// Replays a load pattern through the real choice of replicas, at a model of replicas.
+/// Replays a load pattern through the real replica selector, with a model of the replicas.
 ///
 /// The pattern is that of the grown and large deployments: online requests that step from a third
-/// to twice their mean within a tick, at nodes that see a few of them a second each and know the
-/// load of the replicas as it was 150 to 250 ms ago. Batch items are left out.
+/// to twice their mean within a tick, at nodes that each see a few of them a second and know the
+/// load of the replicas as it was 150 to 250 ms ago. Batch items are not modelled.
 
 namespace {
 
@@ -26,18 +26,18 @@
   int slots = 7;
   double mean_per_second = 522;
   double service_ms = 850;
-  std::int64_t view_age_ms = 150;  ///< Of what digests tell when they arrive.
-  std::int64_t low_ms = 3'300;     ///< At a third of the mean rate; then twice the mean.
+  std::int64_t view_age_ms = 150;  ///< Age of the load in digests on arrival.
+  std::int64_t low_ms = 3'300;     ///< Time at a third of the mean rate; then twice it.
   std::int64_t high_ms = 2'200;
 };
 
-/// Requests of one replay.
+/// Request counts of one replay.
 struct Outcome {
   int requests = 0;
-  int waited = 0;  ///< For a slot.
+  int waited = 0;  ///< Requests that waited for a slot.
 };
 
-/// Replicas that serve in order of arrival, and nodes that choose among them on a late view.
+/// Model of replicas that serve in FIFO order, and nodes that choose among them on stale load.
 class Replay {
  public:
   Replay(const Pattern& pattern, std::uint64_t seed)
@@ -110,7 +110,7 @@
   ReplicaDirectory directory_{knobs_};
   std::map<std::string, int> numbers_;
   std::vector<std::unique_ptr<ReplicaSelector>> selectors_;
-  std::vector<std::vector<double>> free_at_;  ///< Of each slot of each replica.
+  std::vector<std::vector<double>> free_at_;  ///< By replica and slot.
   std::map<int, std::vector<std::pair<std::int64_t, std::int64_t>>> requests_;  ///< Begin and end.
   Outcome outcome_;
 };
@@ -129,14 +129,14 @@
 
 BOOST_AUTO_TEST_SUITE(placement_replay)
 
-BOOST_AUTO_TEST_CASE(a_step_in_a_large_fleet_finds_the_free_slots) {
+BOOST_AUTO_TEST_CASE(few_requests_wait_after_a_load_step_in_a_large_fleet) {
   const Outcome outcome = replay({}, 3);
-  // 1.8% do.
+  // Measured: 1.8% wait.
   BOOST_TEST(outcome.waited < 0.03 * outcome.requests,
              outcome.waited << " of " << outcome.requests << " waited");
 }
 
-BOOST_AUTO_TEST_CASE(a_step_in_a_small_fleet_finds_the_free_slots) {
+BOOST_AUTO_TEST_CASE(few_requests_wait_after_a_load_step_in_a_small_fleet) {
   Pattern small;
   small.nodes = 10;
   small.replicas = 18;
--- a/tests/routing/replica_directory_test.cpp
+++ b/tests/routing/replica_directory_test.cpp
@@ -35,10 +35,10 @@
   BOOST_TEST(directory.ready("lm").size() == 1U);
   directory.remove("r2");
   BOOST_TEST(directory.ready("lm").empty());
-  directory.ended("r2", TrafficClass::kOnline);  // Its last request ends after it has left.
+  directory.ended("r2", TrafficClass::kOnline);  // Its last request ends after the removal.
 }
 
-BOOST_AUTO_TEST_CASE(load_is_own_work_and_that_of_peers) {
+BOOST_AUTO_TEST_CASE(load_is_the_sum_of_own_and_peer_requests) {
   const std::uint32_t key = directory.find("r1")->key;
   directory.started("r1", TrafficClass::kOnline, 100);
   directory.set_peer_loads({{node_key("n2"), 0, 0, false, 0, {{key, 3, 0, 2, 0}}}}, at(10));
@@ -52,9 +52,9 @@
   BOOST_TEST(directory.find("r1")->load(at(20)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(sums_kept_digest_by_digest_are_those_of_all_digests_that_count) {
-  // Peers tell, fall silent and come back, replicas come and go: the sums stay those of a fresh
-  // one.
+BOOST_AUTO_TEST_CASE(incremental_peer_sums_equal_the_sum_over_current_digests) {
+  // Peers send digests, expire and return, replicas are added and removed: the sums stay equal to
+  // sums computed from scratch.
   constexpr int kPeers = 12;
   constexpr int kReplicas = 6;
   std::mt19937_64 random(5);
@@ -110,7 +110,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_states_a_queue_counts_as_loaded_for_a_while) {
+BOOST_AUTO_TEST_CASE(a_reported_queue_counts_as_load_for_a_while) {
   directory.report("r1", {4, 3, 4}, at(0));
   BOOST_TEST(directory.find("r1")->load(at(100)) == 7);
   BOOST_TEST(directory.find("r1")->load(at(5'000)) == 0);
@@ -120,7 +120,7 @@
   directory.signal("r1", ReplicaSignal::kUnreachable, at(0));
   const Duration first = directory.find("r1")->ejected_until - at(0);
   BOOST_TEST((first == knobs.replica_ejection_time));
-  // Requests that were under way fail for the same reason.
+  // Requests that were in flight fail for the same reason.
   directory.signal("r1", ReplicaSignal::kUnreachable, at(100));
   BOOST_TEST((directory.find("r1")->ejected_until == at(0) + first));
   directory.signal("r1", ReplicaSignal::kUnreachable, at(1'000));
@@ -130,7 +130,7 @@
   BOOST_TEST(!directory.find("r1")->on_trial());
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_turned_a_request_away_is_full_for_a_moment) {
+BOOST_AUTO_TEST_CASE(a_replica_that_rejected_a_request_is_briefly_full) {
   BOOST_TEST(directory.turned_away("r1", at(1'000)));
   BOOST_TEST(directory.find("r1")->load(at(1'000)) == 4);
   BOOST_TEST(directory.find("r2")->load(at(1'000)) == 0);
@@ -140,18 +140,18 @@
   BOOST_TEST(!directory.turned_away("gone", at(1'000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_that_reports_a_free_slot_does_not_mean_that_the_replica_is_full) {
+BOOST_AUTO_TEST_CASE(a_rejection_that_reports_a_free_slot_does_not_mark_the_replica_full) {
   directory.report("r1", {3, 0, 4}, at(1'000));
   BOOST_TEST(!directory.turned_away("r1", at(1'000)));
   BOOST_TEST(directory.find("r1")->load(at(1'000)) == 0);
   directory.report("r1", {4, 0, 4}, at(1'000));
   BOOST_TEST(directory.turned_away("r1", at(1'000)));
   BOOST_TEST(directory.find("r1")->load(at(1'000)) == 4);
-  directory.report("r2", {3, 0, 4}, at(400));  // What it reported before says nothing now.
+  directory.report("r2", {3, 0, 4}, at(400));  // The earlier report is outdated.
   BOOST_TEST(directory.turned_away("r2", at(1'000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_pace_that_cannot_be_is_noted_once_a_replica) {
+BOOST_AUTO_TEST_CASE(an_invalid_pace_is_recorded_once_per_replica) {
   BOOST_TEST(directory.first_unreadable_pace("r1"));
   BOOST_TEST(!directory.first_unreadable_pace("r1"));
   BOOST_TEST(directory.first_unreadable_pace("r2"));
--- a/tests/routing/replica_pace_test.cpp
+++ b/tests/routing/replica_pace_test.cpp
@@ -20,7 +20,7 @@
 constexpr const char* kService = "lm";
 constexpr Duration kStep = std::chrono::milliseconds(30);
 
-/// What one node knows of nine replicas, 1 to 9.
+/// Pace data of one node about nine replicas, 1 to 9.
 struct View {
   Knobs knobs;
   ReplicaPaces paces{knobs};
@@ -36,7 +36,7 @@
                      std::chrono::duration_cast<Duration>(kStep * factor), at(0));
     }
   }
-  /// Replicas 1 to 3 are fast, 4 to 6 as usual, 7 to 9 slow.
+  /// Adds runs: replicas 1 to 3 are fast, 4 to 6 usual, 7 to 9 slow.
   void run_all() {
     for (std::uint32_t replica = 1; replica <= 9; ++replica) {
       run(replica, replica <= 3 ? 0.6 : replica <= 6 ? 1.0 : 1.6);
@@ -50,8 +50,8 @@
                        std::chrono::duration<double, std::micro>(kStep).count() * factor)};
 }
 
-/// Replicas of three speeds, each slowed further for a part of the time.
-FleetPattern unlike_replicas() {
+/// Replicas of three speeds, each temporarily slowed further.
+FleetPattern heterogeneous_replicas() {
   FleetPattern pattern;
   pattern.nodes = 75;
   pattern.replicas = 60;
@@ -81,7 +81,7 @@
 
 BOOST_AUTO_TEST_SUITE(replica_pace)
 
-BOOST_FIXTURE_TEST_CASE(replicas_that_differ_are_told_apart, View) {
+BOOST_FIXTURE_TEST_CASE(replicas_of_different_speed_are_classified, View) {
   run_all();
   BOOST_TEST(paces.usual(1) == 0.6, boost::test_tools::tolerance(0.02));
   BOOST_TEST(paces.usual(5) == 1.0);
@@ -89,7 +89,7 @@
   BOOST_TEST(paces.classes().at(PaceClass::kSlow) == 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(replicas_that_work_alike_are_all_usual_and_nothing_is_told, View) {
+BOOST_FIXTURE_TEST_CASE(replicas_of_equal_speed_are_usual_and_not_reported, View) {
   std::mt19937_64 random(1);
   std::normal_distribution<double> length(1, 0.15);
   for (int round = 0; round < 200; ++round) {
@@ -105,7 +105,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(a_digest_without_paces_is_as_long_as_before, View) {
+BOOST_FIXTURE_TEST_CASE(paces_add_no_bytes_to_a_digest_while_replicas_are_alike, View) {
   run(1, 1.0);
   run(2, 1.0);
   paces.update(at(0));
@@ -115,7 +115,7 @@
   BOOST_TEST(encode(digest).size() == bytes);
 }
 
-BOOST_FIXTURE_TEST_CASE(runs_that_are_slowed_for_moments_do_not_change_the_usual_pace, View) {
+BOOST_FIXTURE_TEST_CASE(temporarily_slow_runs_do_not_change_the_usual_pace, View) {
   std::mt19937_64 random(2);
   std::bernoulli_distribution slowed(0.15);
   for (int round = 0; round < 200; ++round) {
@@ -129,7 +129,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(a_few_runs_say_nothing, View) {
+BOOST_FIXTURE_TEST_CASE(a_few_runs_do_not_change_the_usual_pace, View) {
   run_all();
   paces.forget(9);
   paces.add(9, kService);
@@ -138,7 +138,7 @@
   BOOST_TEST(paces.usual(9) == 1.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_replica_that_was_reborn_begins_at_the_middle, View) {
+BOOST_FIXTURE_TEST_CASE(a_restarted_replica_starts_at_factor_one, View) {
   run_all();
   paces.stated(9, 2.5, at(0));
   paces.forget(9);
@@ -147,7 +147,7 @@
   BOOST_TEST(paces.expected(9, at(0)) == 1.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_is_stated_holds_for_a_moment_and_fades, View) {
+BOOST_FIXTURE_TEST_CASE(a_reported_factor_holds_briefly_and_fades, View) {
   run_all();
   paces.stated(9, 2.5, at(1'000));
   const double fresh = paces.expected(9, at(1'000) + knobs.pace_stated_fresh);
@@ -160,14 +160,14 @@
              paces.usual(9));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_figure_that_is_stuck_is_believed_no_longer, View) {
+BOOST_FIXTURE_TEST_CASE(a_constant_reported_factor_loses_its_effect, View) {
   for (int answer = 0; answer < 40; ++answer) {
     paces.stated(4, 2.5, at(answer * 100));
   }
   BOOST_TEST(paces.expected(4, at(3'900)) == 1.0, boost::test_tools::tolerance(0.05));
 }
 
-BOOST_FIXTURE_TEST_CASE(no_statement_makes_a_replica_faster_or_slower_than_the_limit, View) {
+BOOST_FIXTURE_TEST_CASE(reported_factors_are_clamped_to_the_limit, View) {
   run_all();
   paces.stated(1, 0.01, at(0));
   paces.stated(9, 100, at(0));
@@ -177,8 +177,7 @@
   BOOST_TEST(paces.expected(2, at(0)) == paces.usual(2));
 }
 
-BOOST_FIXTURE_TEST_CASE(one_nodes_word_about_a_replica_that_is_not_known_here_counts_for_nothing,
-                        View) {
+BOOST_FIXTURE_TEST_CASE(a_report_of_a_single_node_is_ignored_without_own_samples, View) {
   run(1, 1.0);
   run(2, 1.0);
   run(3, 1.0);
@@ -190,7 +189,7 @@
   BOOST_TEST(paces.usual(9) == 1.6, boost::test_tools::tolerance(0.02));
 }
 
-BOOST_FIXTURE_TEST_CASE(own_runs_go_before_the_word_of_others, View) {
+BOOST_FIXTURE_TEST_CASE(own_samples_take_precedence_over_peer_reports, View) {
   run_all();
   paces.add_peer_paces(77, {peer_entry(5, 4.0)}, at(0));
   paces.add_peer_paces(78, {peer_entry(5, 4.0)}, at(0));
@@ -198,8 +197,8 @@
   BOOST_TEST(paces.usual(5) == 1.0);
 }
 
-// A node of a large fleet sends nearly all its requests to a few replicas.
-BOOST_FIXTURE_TEST_CASE(a_node_that_sees_slow_replicas_only_learns_so_from_the_others, View) {
+// In a large fleet, a node sends nearly all its requests to a few replicas.
+BOOST_FIXTURE_TEST_CASE(a_node_that_uses_only_slow_replicas_learns_it_from_peer_reports, View) {
   run(7, 1.6);
   run(8, 1.6);
   run(9, 1.6);
@@ -217,7 +216,7 @@
   BOOST_TEST(!paces.report(at(0)).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(words_are_forgotten_and_few_are_told_and_kept, View) {
+BOOST_FIXTURE_TEST_CASE(peer_reports_expire_and_their_number_is_bounded, View) {
   run_all();
   BOOST_TEST(paces.report(at(0)).size() == knobs.pace_entries);
   BOOST_TEST(paces.report(at(0) + knobs.pace_report_interval / 2).empty());
@@ -233,7 +232,7 @@
   BOOST_TEST(other.paces.usual(9) == 1.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_pace_near_the_bound_does_not_go_to_and_fro, View) {
+BOOST_FIXTURE_TEST_CASE(a_pace_near_the_threshold_does_not_oscillate, View) {
   for (std::uint32_t replica = 1; replica <= 9; ++replica) {
     run(replica, 1.0);
   }
@@ -245,7 +244,7 @@
   BOOST_TEST(changes <= 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(whole_runs_count_only_where_there_are_no_streams, View) {
+BOOST_FIXTURE_TEST_CASE(whole_runs_count_only_for_services_without_streams, View) {
   for (std::uint32_t replica = 1; replica <= 9; ++replica) {
     for (int number = 0; number < 30; ++number) {
       paces.observed(replica, PaceSample::kRun, kStep * (replica == 9 ? 2 : 1), at(0));
@@ -259,7 +258,7 @@
   BOOST_TEST(paces.usual(9) == 1.6, boost::test_tools::tolerance(0.02));
 }
 
-BOOST_FIXTURE_TEST_CASE(the_word_of_one_node_does_not_move_the_middle_of_the_service, View) {
+BOOST_FIXTURE_TEST_CASE(reports_of_a_single_node_do_not_move_the_service_median, View) {
   run(1, 1.0);
   run(2, 1.0);
   std::vector<PaceEntry> wrong;
@@ -273,7 +272,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(requests_wait_less_where_paces_are_known) {
-  FleetPattern pattern = unlike_replicas();
+  FleetPattern pattern = heterogeneous_replicas();
   pattern.learn_paces = false;
   const FleetOutcome without = play(pattern, 3);
   pattern.learn_paces = true;
@@ -282,7 +281,7 @@
   BOOST_TEST(2 * with.late < without.late, with.late << " late, without " << without.late);
 }
 
-BOOST_AUTO_TEST_CASE(full_replicas_refuse_no_request_while_another_has_a_free_slot) {
+BOOST_AUTO_TEST_CASE(no_request_is_refused_while_another_replica_has_a_free_slot) {
   FleetPattern pattern;
   pattern.replicas = 4;
   pattern.slots = 6;
--- a/tests/routing/replica_selector_test.cpp
+++ b/tests/routing/replica_selector_test.cpp
@@ -29,7 +29,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(replica_selector, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_long_shared_prefix_goes_to_the_same_home_from_every_node) {
+BOOST_AUTO_TEST_CASE(every_node_sends_a_long_shared_prefix_to_the_same_home) {
   ReplicaSelector one(knobs, directory, "zone-a", 1);
   ReplicaSelector other(knobs, directory, "zone-b", 2);
   const std::string home = one.choose(query(13'000), at(0)).replica->record.id;
@@ -39,7 +39,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_home_with_a_long_queue_is_left) {
+BOOST_AUTO_TEST_CASE(a_home_with_a_long_queue_is_avoided) {
   ReplicaSelector selector(knobs, directory, "zone-a", 1);
   const std::string home = selector.choose(query(13'000), at(0)).replica->record.id;
   for (int request = 0; request < 12; ++request) {
@@ -62,7 +62,7 @@
   BOOST_TEST(counts.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_reads_a_long_prompt_of_another_node_is_left_until_it_is_read) {
+BOOST_AUTO_TEST_CASE(a_replica_is_avoided_while_it_prefills_a_long_prompt_of_a_peer) {
   ReplicaSelector selector(knobs, directory, "zone-a", 1);
   const std::uint32_t reading = directory.find("r1")->key;
   const auto tokens = static_cast<std::uint32_t>(knobs.prefill_tokens_per_ms * 500);
@@ -79,13 +79,13 @@
   directory.set_peer_loads({{node_key("n2"), 0, 0, false, 0, {}}}, at(4'900));
   directory.started("r4", TrafficClass::kOnline, 0);
   directory.started("r4", TrafficClass::kOnline, 0);
-  // Seconds later, when the requests above are not taken for unseen load any more.
+  // Seconds later, when the requests above no longer count as unseen load.
   BOOST_TEST(selector.choose({"lm", TrafficClass::kOnline, {}, {"r2", "r3"}}, at(5'000))
                  .replica->record.id == "r1");
 }
 
-BOOST_AUTO_TEST_CASE(many_nodes_with_one_stale_view_do_not_meet_at_one_replica) {
-  // 40 nodes know the same load, and start 4 requests each before they hear of each other.
+BOOST_AUTO_TEST_CASE(nodes_with_the_same_stale_view_do_not_overload_one_replica) {
+  // 40 nodes know the same load, and each starts 4 requests before the next digest arrives.
   constexpr int kNodes = 40;
   constexpr int kRequests = 4;
   constexpr int kReplicas = 40;
@@ -114,11 +114,11 @@
   const auto most = std::max_element(
       chosen.begin(), chosen.end(),
       [](const auto& left, const auto& right) { return left.second < right.second; });
-  // 4 a replica on average; the one that looks idle may get some more.
+  // 4 per replica on average; the one that looks idle may get a few more.
   BOOST_TEST(most->second <= 20, most->first << " was chosen " << most->second << " times");
 }
 
-BOOST_AUTO_TEST_CASE(batch_keeps_off_replicas_that_are_nearly_full) {
+BOOST_AUTO_TEST_CASE(batch_items_avoid_replicas_that_are_nearly_full) {
   ReplicaSelector selector(knobs, directory, "zone-a", 1);
   for (const char* id : {"r1", "r2", "r3", "r4"}) {
     for (int request = 0; request < 4; ++request) {
@@ -131,7 +131,7 @@
   BOOST_TEST(online.expected_wait.count() > 0);
 }
 
-BOOST_AUTO_TEST_CASE(ejected_replicas_come_back_through_one_trial_and_never_all_are_left_out) {
+BOOST_AUTO_TEST_CASE(ejected_replicas_return_by_one_trial_and_are_used_if_all_are_ejected) {
   ReplicaSelector selector(knobs, directory, "zone-a", 1);
   directory.signal("r1", ReplicaSignal::kUnreachable, at(0));
   for (int request = 0; request < 20; ++request) {
@@ -149,7 +149,7 @@
                  .replica == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_fails_at_many_nodes_is_left_though_this_node_saw_nothing) {
+BOOST_AUTO_TEST_CASE(a_replica_that_fails_for_other_nodes_is_avoided) {
   ReplicaSelector selector(knobs, directory, "zone-a", 1);
   const std::uint32_t failing = directory.find("r3")->key;
   std::vector<LoadDigest> digests;
@@ -175,7 +175,7 @@
   BOOST_TEST(chosen.contains("r3"));
 }
 
-BOOST_AUTO_TEST_CASE(items_that_give_way_do_not_keep_online_requests_off_a_replica) {
+BOOST_AUTO_TEST_CASE(preemptible_items_do_not_keep_online_requests_off_a_replica) {
   ReplicaSelector selector(knobs, directory, "zone-a", 1);
   const auto fill = [&](const std::string& id, TrafficClass traffic) {
     for (int request = 0; request < 4; ++request) {
@@ -188,7 +188,7 @@
   fill("r4", TrafficClass::kOnline);
   const ReplicaChoice choice = selector.choose(query(10), at(0));
   BOOST_TEST(choice.replica->record.id == "r1");
-  BOOST_TEST(choice.expected_load >= 4.0);  // Items included: the caller asks for a slot.
+  BOOST_TEST(choice.expected_load >= 4.0);  // Includes items: the caller sends a slot request.
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/replica_subset_test.cpp
+++ b/tests/routing/replica_subset_test.cpp
@@ -25,7 +25,7 @@
       subset.add("lm", zone_of(index));
     }
   }
-  /// @return replicas that a node uses, in its zone and elsewhere.
+  /// @return numbers of replicas that a node uses, in its zone and in other zones.
   std::pair<std::size_t, std::size_t> used_by(const ReplicaSubset& subset,
                                               const std::string& zone) const {
     std::pair<std::size_t, std::size_t> used{0, 0};
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_SUITE(replica_subset)
 
-BOOST_AUTO_TEST_CASE(a_service_with_few_replicas_is_used_whole) {
+BOOST_AUTO_TEST_CASE(all_replicas_of_a_small_service_are_used) {
   const Fleet fleet(ReplicaSubset::kUndivided);
   ReplicaSubset subset("a", "node-1");
   fleet.add_to(subset);
@@ -53,8 +53,8 @@
   BOOST_TEST(own + others == fleet.names.size());
 }
 
-// What a node keeps does not grow with the fleet.
-BOOST_AUTO_TEST_CASE(the_part_of_a_node_is_bounded_at_any_size) {
+// The state of a node does not grow with the fleet.
+BOOST_AUTO_TEST_CASE(the_subset_of_a_node_is_bounded_at_any_fleet_size) {
   for (const std::size_t replicas : {1'000, 3'000, 10'000, 20'000, 100'000}) {
     const Fleet fleet(replicas);
     ReplicaSubset subset("b", "node-7");
@@ -67,7 +67,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(every_replica_is_used_by_a_like_number_of_nodes_of_its_zone) {
+BOOST_AUTO_TEST_CASE(replicas_are_used_by_similar_numbers_of_nodes_of_their_zone) {
   const Fleet fleet(10'000);
   constexpr std::size_t kNodes = 200;
   std::map<std::string, int> users;
@@ -84,9 +84,9 @@
   }
 }
 
-// A release or a scale-in takes replicas away and brings others: a node that changed its part with
-// each of them would open its connections anew all the time.
-BOOST_AUTO_TEST_CASE(the_number_of_slices_stays_while_some_replicas_come_and_go) {
+// A release or a scale-in removes replicas and adds others: a node whose subset changed with each
+// of them would constantly reopen its connections.
+BOOST_AUTO_TEST_CASE(slices_are_stable_while_few_replicas_are_added_or_removed) {
   for (const std::size_t replicas : {1'600, 3'200, 6'400, 10'000}) {
     const Fleet fleet(replicas);
     ReplicaSubset subset("a", "node-1");
@@ -104,8 +104,8 @@
   }
 }
 
-// Twice as many slices divide each in two: nothing that was not used before is used then.
-BOOST_AUTO_TEST_CASE(a_finer_division_keeps_a_part_of_the_former_one) {
+// Doubling the slices splits each in two, so no replica is used that was not used before.
+BOOST_AUTO_TEST_CASE(a_finer_division_yields_a_subset_of_the_coarser_one) {
   const Fleet small(6'000);
   const Fleet large(12'000);
   ReplicaSubset before("a", "node-3");
@@ -120,9 +120,9 @@
   }
 }
 
-// A node that divided more coarsely than its source would use replicas whose drains it never hears
-// of.
-BOOST_AUTO_TEST_CASE(whoever_is_told_divides_like_its_source_whether_the_fleet_grew_or_shrank) {
+// A node that divided more coarsely than its source would use replicas whose drains are never
+// announced to it.
+BOOST_AUTO_TEST_CASE(adopted_counts_divide_like_their_source_after_growth_and_shrinking) {
   const Fleet fleet(6'400);
   ReplicaSubset source("a", "source");
   fleet.add_to(source);
@@ -130,7 +130,7 @@
   for (std::size_t index = 0; index < 1'200; ++index) {
     source.remove("lm", fleet.zone_of(index));
   }
-  BOOST_TEST(source.slices() == slices);  // One that counts 5,200 anew divides into half as many.
+  BOOST_TEST(source.slices() == slices);  // Counting 5,200 from zero gives half as many.
   ReplicaSubset follower("a", "node-3");
   follower.adopt_counts(source.counts());
   BOOST_TEST(follower.slices() == slices);
@@ -142,14 +142,14 @@
                source.contains_for(node, "lm", zone, fleet.names[index]));
   }
   const std::uint64_t widened = follower.widened();
-  ReplicaSubset anew("a", "other source");
-  Fleet(5'200).add_to(anew);
-  BOOST_TEST(anew.slices() < slices);
-  follower.adopt_counts(anew.counts());
+  ReplicaSubset recounted("a", "other source");
+  Fleet(5'200).add_to(recounted);
+  BOOST_TEST(recounted.slices() < slices);
+  follower.adopt_counts(recounted.counts());
   BOOST_TEST(follower.widened() > widened);
 }
 
-BOOST_AUTO_TEST_CASE(removing_more_than_was_there_changes_nothing) {
+BOOST_AUTO_TEST_CASE(removing_an_unknown_replica_changes_nothing) {
   ReplicaSubset subset("a", "node-1");
   subset.remove("lm", "a");
   BOOST_TEST(subset.slices() == 1U);
--- a/tests/routing/slot_request_test.cpp
+++ b/tests/routing/slot_request_test.cpp
@@ -11,7 +11,7 @@
 
 BOOST_AUTO_TEST_SUITE(slot_request)
 
-BOOST_AUTO_TEST_CASE(a_request_is_read_as_it_was_written) {
+BOOST_AUTO_TEST_CASE(a_request_survives_encoding_and_decoding) {
   const std::string bytes = encode(SlotRequest{4'000'000'000U});
   BOOST_TEST(is_slot_request(bytes));
   BOOST_TEST(!is_load_digest(bytes));
@@ -20,14 +20,14 @@
   BOOST_TEST(decode_slot_request(bytes)->replica_key == 4'000'000'000U);
 }
 
-BOOST_AUTO_TEST_CASE(malformed_bytes_are_no_request) {
+BOOST_AUTO_TEST_CASE(malformed_bytes_are_rejected) {
   BOOST_TEST(!decode_slot_request("").has_value());
   BOOST_TEST(!decode_slot_request("\xc3").has_value());
   BOOST_TEST(!decode_slot_request("\xc3no number").has_value());
   BOOST_TEST(!is_slot_request(encode(LoadDigest{})));
 }
 
-BOOST_AUTO_TEST_CASE(the_peer_with_most_items_is_asked_and_each_item_once) {
+BOOST_AUTO_TEST_CASE(the_peer_with_most_items_is_chosen_and_each_item_claimed_once) {
   const Knobs knobs;
   ReplicaDirectory directory(knobs);
   ReplicaRecord record;
--- a/tests/routing/slot_shares_test.cpp
+++ b/tests/routing/slot_shares_test.cpp
@@ -47,7 +47,7 @@
                          [](int sum, const SlotShare& share) { return sum + share.slots; });
 }
 
-/// Owner and slots, by replica.
+/// Slots by owner, for each replica.
 using Owners = std::map<std::uint32_t, std::map<int, int>>;
 
 Owners owners_of(const Fleet& fleet, const std::vector<SlotHolder>& all) {
@@ -89,18 +89,18 @@
 
 BOOST_AUTO_TEST_SUITE(slot_shares)
 
-BOOST_AUTO_TEST_CASE(every_slot_has_one_owner_and_nodes_have_alike_many) {
+BOOST_AUTO_TEST_CASE(every_slot_has_one_owner_and_nodes_have_similar_numbers) {
   const Fleet fleet(89, 8);
   const Owners owners = owners_of(fleet, holders(73));
-  int dealt = 0;
+  int assigned = 0;
   std::map<int, int> by_node;
   for (const auto& [replica, nodes] : owners) {
     for (const auto& [node, slots] : nodes) {
-      dealt += slots;
+      assigned += slots;
       by_node[node] += slots;
     }
   }
-  BOOST_TEST(dealt == 89 * 8);
+  BOOST_TEST(assigned == 89 * 8);
   BOOST_TEST(by_node.size() == 73U);
   for (const auto& [node, slots] : by_node) {
     BOOST_TEST(slots >= 8, "node " << node << " has " << slots);
@@ -108,7 +108,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(slots_of_the_own_zone_come_first) {
+BOOST_AUTO_TEST_CASE(slots_of_the_own_zone_are_preferred) {
   const Fleet fleet(89, 8);
   int own_zone = 0;
   int all = 0;
@@ -123,17 +123,17 @@
   BOOST_TEST(own_zone >= 0.95 * all, own_zone << " of " << all);
 }
 
-BOOST_AUTO_TEST_CASE(few_slots_change_hands_when_a_node_goes) {
+BOOST_AUTO_TEST_CASE(few_slots_change_owners_when_a_node_leaves) {
   const Fleet fleet(89, 8);
   std::vector<SlotHolder> fewer = holders(73);
   const Owners before = owners_of(fleet, fewer);
   fewer.erase(fewer.begin() + 30);
   const int slots = moved(before, owners_of(fleet, fewer));
-  // The node's own slots, and what the bound passes on behind them.
+  // The slots of the removed node, and those that the bound moves as a consequence.
   BOOST_TEST(slots < 89 * 8 / 5, slots << " moved");
 }
 
-BOOST_AUTO_TEST_CASE(few_slots_change_hands_when_a_replica_comes) {
+BOOST_AUTO_TEST_CASE(few_slots_change_owners_when_a_replica_is_added) {
   Fleet fleet(89, 8);
   const Owners before = owners_of(fleet, holders(73));
   fleet.add("added", "zone-1", 8);
@@ -141,7 +141,7 @@
   BOOST_TEST(slots < 89 * 8 / 5, slots << " moved");
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_drains_has_no_owner) {
+BOOST_AUTO_TEST_CASE(slots_of_a_draining_replica_have_no_owner) {
   Fleet fleet(89, 8);
   SlotShares shares(fleet.knobs, "n0");
   shares.set_holders(holders(73));
@@ -154,12 +154,12 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_dealt_in_a_small_fleet_or_where_slots_do_not_suffice) {
+BOOST_AUTO_TEST_CASE(no_slots_are_assigned_in_a_small_fleet_or_if_there_are_too_few) {
   BOOST_TEST(total(Fleet(18, 12).shares_of(0, holders(10))) == 0);
   BOOST_TEST(total(Fleet(3, 6).shares_of(0, holders(73))) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_record_with_an_absurd_number_of_slots_is_dealt_in_part) {
+BOOST_AUTO_TEST_CASE(only_a_part_of_an_absurd_number_of_slots_is_assigned) {
   Fleet fleet(89, 8);
   fleet.add("absurd", "zone-0", 1'000'000);
   int slots = 0;
@@ -169,11 +169,11 @@
   BOOST_TEST(slots < 2 * 89 * 8);
 }
 
-BOOST_AUTO_TEST_CASE(a_deal_that_would_hold_the_event_loop_up_is_not_made) {
+BOOST_AUTO_TEST_CASE(an_assignment_that_would_block_the_event_loop_is_not_computed) {
   BOOST_TEST(total(Fleet(3'000, 8).shares_of(0, holders(300))) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(requests_at_a_peak_find_slots_where_a_late_view_misses_them) {
+BOOST_AUTO_TEST_CASE(slot_shares_reduce_waits_at_a_peak_compared_with_a_stale_view) {
   FleetPattern pattern;
   pattern.slot_shares = false;
   const FleetOutcome without = play(pattern, 2);
@@ -191,7 +191,7 @@
   BOOST_TEST(outcome.late_share() < 0.01, outcome.late << " of " << outcome.requests << " late");
 }
 
-BOOST_AUTO_TEST_CASE(the_same_holds_in_a_fleet_twice_as_large) {
+BOOST_AUTO_TEST_CASE(a_peak_in_a_fleet_twice_as_large_is_in_time) {
   FleetPattern pattern;
   pattern.nodes = 146;
   pattern.replicas = 178;
@@ -200,7 +200,7 @@
   BOOST_TEST(outcome.late_share() < 0.01, outcome.late << " of " << outcome.requests << " late");
 }
 
-BOOST_AUTO_TEST_CASE(slots_of_a_node_that_dies_serve_again_once_it_is_missed) {
+BOOST_AUTO_TEST_CASE(slots_of_a_failed_node_are_reassigned_once_its_failure_is_detected) {
   FleetReplay replay({}, 5);
   replay.at_time(4'000, [](FleetReplay& fleet) {
     for (int node = 0; node < fleet.nodes() / 3; ++node) {
--- a/tests/routing/water_filling_test.cpp
+++ b/tests/routing/water_filling_test.cpp
@@ -25,7 +25,7 @@
   BOOST_TEST(filling.expected()[2] == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(many_unseen_requests_raise_all_replicas_to_one_level) {
+BOOST_AUTO_TEST_CASE(many_unseen_requests_raise_all_replicas_to_a_common_level) {
   const std::array<SlotLoad, 3> replicas{{{1, 8}, {3, 8}, {6, 8}}};
   const WaterFilling filling(replicas, 11);
   BOOST_TEST(filling.expected()[0] == 6.0, boost::test_tools::tolerance(1e-9));
@@ -33,14 +33,14 @@
   BOOST_TEST(filling.expected()[2] == 1.0, boost::test_tools::tolerance(1e-9));
 }
 
-BOOST_AUTO_TEST_CASE(replicas_of_unequal_size_are_filled_alike) {
+BOOST_AUTO_TEST_CASE(replicas_of_unequal_size_are_filled_to_the_same_level) {
   const std::array<SlotLoad, 2> replicas{{{0, 4}, {0, 12}}};
   const WaterFilling filling(replicas, 8);
   BOOST_TEST(filling.expected()[0] == 2.0, boost::test_tools::tolerance(1e-9));
   BOOST_TEST(filling.expected()[1] == 6.0, boost::test_tools::tolerance(1e-9));
 }
 
-BOOST_AUTO_TEST_CASE(all_requests_are_expected_somewhere_and_draws_follow_them) {
+BOOST_AUTO_TEST_CASE(all_unseen_requests_are_distributed_and_draws_are_proportional) {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> load(0, 12);
   for (int round = 0; round < 200; ++round) {
@@ -58,7 +58,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(preferred_replicas_are_drawn_more_often_and_none_twice) {
+BOOST_AUTO_TEST_CASE(preferred_replicas_are_drawn_more_often_and_without_replacement) {
   const std::array<SlotLoad, 3> replicas{{{0, 8}, {0, 8}, {9, 8}}};
   const WaterFilling filling(replicas, 2);
   const std::array<double, 3> preference{3, 1, 100};
