--- a/src/routing/replica_directory.cpp
+++ b/src/routing/replica_directory.cpp
@@ -11,11 +11,11 @@
 namespace dockpoint {
 namespace {
 
-/// A load that a replica stated counts for this long.
+/// How long the load that a replica reported is used.
 constexpr Duration kReportFresh = std::chrono::milliseconds(400);
 
-/// Ended lives are remembered until every request that was in flight there has been told.
-constexpr Duration kEndedLifeMemory = std::chrono::seconds(10);
+/// Ended incarnations are kept until every request that was in flight there has been notified.
+constexpr Duration kEndedIncarnationMemory = std::chrono::seconds(10);
 
 std::uint32_t digest_key(const std::string& id) {
   return static_cast<std::uint32_t>(hash64(id));
@@ -23,12 +23,12 @@
 
 }  // namespace
 
-std::string replica_life_id(const std::string& name, std::int64_t started_ms) {
+std::string replica_incarnation_id(const std::string& name, std::int64_t started_ms) {
   return started_ms == 0 ? name : name + "@" + std::to_string(started_ms);
 }
 
 int Replica::load(TimePoint now) const {
-  const int seen = online + batch + of_peers;
+  const int seen = online + batch + peer_in_flight;
   const int counted = full(now) ? std::max(seen, record.slots) : seen;
   if (reported.waiting > 0 && now - reported_at < kReportFresh) {
     return std::max(counted, reported.running + reported.waiting);
@@ -44,13 +44,13 @@
     replica.own_failures = DecayingCount(knobs_.failure_memory);
   }
   replica.record = record;
-  // It may turn cold again in the middle of its life.
+  // A replica may become cold again while it runs.
   replica.cold_until = std::max(replica.cold_until, now + record.cold_remaining);
   ++revision_;
   if (added) {
     by_key_[replica.key] = &replica;
     paces_.add(replica.key, record.service);
-    show_peer_sum(replica.key);
+    copy_peer_sum(replica.key);
   }
 }
 
@@ -63,11 +63,11 @@
   }
 }
 
-void ReplicaDirectory::end_life(const std::string& id, TimePoint now) {
+void ReplicaDirectory::end_incarnation(const std::string& id, TimePoint now) {
   remove(id);
-  std::erase_if(ended_lives_,
-                [&](const auto& entry) { return now - entry.second > kEndedLifeMemory; });
-  ended_lives_[id] = now;
+  std::erase_if(ended_incarnations_,
+                [&](const auto& entry) { return now - entry.second > kEndedIncarnationMemory; });
+  ended_incarnations_[id] = now;
 }
 
 void ReplicaDirectory::retain(const std::vector<std::string>& ids) {
@@ -124,7 +124,7 @@
   }
   replica->own_failures.add(now);
   if (signal == ReplicaSignal::kFailed || signal == ReplicaSignal::kSilent) {
-    return;  // Its connections are good: only what all nodes see of it counts.
+    return;  // Its connections work: only outlier detection over all nodes decides.
   }
   ++replica->failures_in_row;
   if (signal == ReplicaSignal::kUnreachable ||
@@ -135,7 +135,7 @@
 
 void ReplicaDirectory::eject(Replica& replica, TimePoint now) {
   if (ejected(replica, now)) {
-    return;  // Further requests that were under way fail for the same reason.
+    return;  // Other requests that were in flight fail for the same reason.
   }
   const int doublings = std::min(replica.ejections, 10);
   const Duration time = knobs_.replica_ejection_time * (1 << doublings);
@@ -166,7 +166,7 @@
   const ReportedLoad& reported = replica->reported;
   const bool reported_now = replica->reported_at == now && reported.slots > 0;
   if (reported_now && reported.running < reported.slots) {
-    return false;  // It had another reason.
+    return false;  // It rejected the request for another reason.
   }
   replica->full_until = now + (reported_now ? kReportFresh : knobs_.replica_full_time);
   return true;
@@ -178,7 +178,7 @@
     count_peer_load(peer, -1, now);
     peer = {digest.entries, digest.pending_items, now, now};
     count_peer_load(peer, 1, now);
-    paces_.told(digest.node, digest.paces, now);
+    paces_.add_peer_paces(digest.node, digest.paces, now);
   }
 }
 
@@ -241,22 +241,22 @@
 }
 
 void ReplicaDirectory::count_peer_load(const PeerLoad& peer, int sign, TimePoint now) {
-  pending_items_of_peers_ += sign * static_cast<std::int64_t>(peer.pending_items);
+  peer_pending_items_ += sign * static_cast<std::int64_t>(peer.pending_items);
   for (const LoadDigestEntry& entry : peer.entries) {
     PeerSum& sum = peer_sums_[entry.replica_key];
     sum.in_flight += sign * static_cast<int>(entry.in_flight);
     sum.batch += sign * static_cast<int>(std::min(entry.batch, entry.in_flight));
     sum.failures += sign * static_cast<int>(entry.failures);
-    // What was read since the peer said so does not count.
+    // Tokens prefilled since the digest arrived are no longer pending.
     const double left = prefill_left(entry.prefill_tokens, peer.received, now);
     const double before = prefill_left(sum.prefill_tokens, sum.prefill_at, now);
     sum.prefill_tokens = std::max(0.0, before + sign * left);
     sum.prefill_at = now;
-    show_peer_sum(entry.replica_key);
+    copy_peer_sum(entry.replica_key);
   }
 }
 
-void ReplicaDirectory::show_peer_sum(std::uint32_t key) {
+void ReplicaDirectory::copy_peer_sum(std::uint32_t key) {
   const auto found = peer_sums_.find(key);
   const PeerSum sum = found == peer_sums_.end() ? PeerSum{} : found->second;
   if (found != peer_sums_.end() && sum.in_flight == 0 && sum.failures == 0 &&
@@ -267,9 +267,9 @@
   if (replica == by_key_.end()) {
     return;
   }
-  replica->second->of_peers = sum.in_flight;
-  replica->second->batch_of_peers = sum.batch;
-  replica->second->failures_of_peers = sum.failures;
+  replica->second->peer_in_flight = sum.in_flight;
+  replica->second->peer_batch = sum.batch;
+  replica->second->peer_failures = sum.failures;
   replica->second->peer_prefill_tokens = sum.prefill_tokens;
   replica->second->peer_prefill_at = sum.prefill_at;
 }
@@ -288,8 +288,8 @@
   return entries;
 }
 
-std::optional<std::uint32_t> ReplicaDirectory::take_item_of_peer(std::uint32_t replica_key,
-                                                                 TimePoint now) {
+std::optional<std::uint32_t> ReplicaDirectory::claim_peer_item(std::uint32_t replica_key,
+                                                               TimePoint now) {
   PeerLoad* most = nullptr;
   LoadDigestEntry* entry_of_most = nullptr;
   std::uint32_t node = 0;
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -9,7 +9,7 @@
 namespace dockpoint {
 namespace {
 
-/// Beyond this exponent softplus is the identity.
+/// Above this exponent, softplus equals its argument.
 constexpr double kLargeExponent = 40;
 
 double to_milliseconds(Duration duration) {
@@ -34,7 +34,7 @@
   }
   const std::vector<PrefixStep> steps = steps_of(query.prompt);
   if (const Candidate own = own_slot(query, steps, now); own.replica != nullptr) {
-    return take(query.service, own, now);
+    return record_choice(query.service, own, now);
   }
   const auto home_keys = homes(directory_.ready(query.service), steps);
   const double prompt_tokens = steps.empty() ? 0 : steps.back().tokens;
@@ -59,11 +59,11 @@
       best = &candidate;
     }
   }
-  return take(query.service, *best, now);
+  return record_choice(query.service, *best, now);
 }
 
-ReplicaChoice ReplicaSelector::take(const std::string& service, const Candidate& candidate,
-                                    TimePoint now) {
+ReplicaChoice ReplicaSelector::record_choice(const std::string& service, const Candidate& candidate,
+                                             TimePoint now) {
   history_of(service).sends.add(now);
   if (cold_limiter_ != nullptr && now < candidate.replica->cold_until) {
     cold_limiter_->sent(service, candidate.replica->key, now);
@@ -85,9 +85,9 @@
   const double prompt_tokens = steps.empty() ? 0 : steps.back().tokens;
   Candidate best;
   double best_end_ms = 0;
-  for (const SlotShare& share : shares_->of(query.service, directory_)) {
+  for (const SlotShare& share : shares_->shares_for(query.service, directory_)) {
     const Replica* replica = directory_.find_key(share.replica_key);
-    // Two replicas, of different services even, may share a key.
+    // Keys may collide, even between replicas of different services.
     const bool of_service = replica != nullptr && replica->record.service == query.service;
     if (!of_service || replica->online >= share.slots || replica->full(now) ||
         !usable(*replica, query, now)) {
@@ -101,7 +101,7 @@
     candidate.wait_ms = wait_ms(*replica, candidate.competing_load, query.service, now);
     candidate.cost_ms = cost_ms(candidate, now);
     candidate.own_slot = true;
-    // A slot that is free again sooner is there for the next request.
+    // Prefer faster replicas: their slots become free sooner for the next request.
     const double slower = directory_.paces().expected(replica->key, now) - 1;
     const double end_ms = candidate.cost_ms + slower * service_ms(query.service);
     if (best.replica == nullptr || end_ms < best_end_ms) {
@@ -114,7 +114,7 @@
 
 double ReplicaSelector::unseen_requests(const std::vector<const Replica*>& open,
                                         const std::string& service, TimePoint now) const {
-  constexpr double kLeast = 0.5;
+  constexpr double kMinUnseen = 0.5;
   ArrivalObservation observation;
   for (const Replica* replica : open) {
     observation.in_flight += replica->all_online();
@@ -126,7 +126,7 @@
   observation.nodes = static_cast<double>(directory_.peers()) + 1;
   observation.prior_requests = knobs_.arrival_prior_requests;
   const Duration delay = knobs_.load_view_delay + directory_.mean_peer_age(now);
-  return std::max(kLeast, expected_arrivals(observation, delay));
+  return std::max(kMinUnseen, expected_arrivals(observation, delay));
 }
 
 double ReplicaSelector::service_ms(const std::string& service) const {
@@ -199,7 +199,7 @@
     open.push_back(replica);
   }
   if (open.empty() && query.traffic == TrafficClass::kOnline) {
-    return ready;  // Better a replica that failed lately than none.
+    return ready;  // A replica that failed recently is better than none.
   }
   return open;
 }
@@ -295,7 +295,7 @@
 double ReplicaSelector::wait_ms(const Replica& replica, double expected_load,
                                 const std::string& service, TimePoint now) const {
   const int slots = std::max(1, replica.record.slots);
-  // The load is an expectation: near the limit the request waits with some probability.
+  // The load is an expected value: near the limit, the request waits with some probability.
   const double beyond = expected_load + 1 - slots;
   const double spread = knobs_.load_uncertainty;
   const double waiting = spread * std::log1p(std::exp(std::min(beyond / spread, kLargeExponent)));
--- a/src/routing/replica_subset.cpp
+++ b/src/routing/replica_subset.cpp
@@ -7,10 +7,10 @@
 namespace dockpoint {
 namespace {
 
-/// A service that is divided stays so down to this share of the limit, in tenths.
+/// Hysteresis: a divided service stays divided down to this share of `kUndivided`, in tenths.
 constexpr std::size_t kUndividedAgainTenths = 7;
 
-/// Replicas are hashed apart from nodes: their names may be alike.
+/// Replicas are hashed with a seed of their own, as nodes may have the same names.
 constexpr std::uint64_t kReplicaSeed = 0x5ee7;
 
 }  // namespace
@@ -52,16 +52,16 @@
   slices_before = slices;
 }
 
-void ReplicaSubset::assume(const std::vector<ReplicaCount>& counts) {
-  std::map<std::pair<std::string, std::string>, const ReplicaCount*> told;
+void ReplicaSubset::adopt_counts(const std::vector<ReplicaCount>& counts) {
+  std::map<std::pair<std::string, std::string>, const ReplicaCount*> reported;
   for (const ReplicaCount& count : counts) {
-    told[{count.service, count.zone}] = &count;
+    reported[{count.service, count.zone}] = &count;
     divide(services_[count.service], count.zone, static_cast<std::size_t>(count.replicas),
            std::max<std::size_t>(1, static_cast<std::size_t>(count.slices)), count.divided);
   }
   for (auto& [service, counted] : services_) {
     for (const auto& [zone, known] : counted.zones) {
-      if (!told.contains({service, zone}) && known.first > 0) {
+      if (!reported.contains({service, zone}) && known.first > 0) {
         divide(counted, zone, 0, 1, counted.divided);
       }
     }
