--- a/include/dockpoint/batch/token_quota.hpp
+++ b/include/dockpoint/batch/token_quota.hpp
@@ -119,7 +119,7 @@
 
   void on_snapshot(const std::vector<KeyedRecord>& records) override;
   void on_record(const KeyedRecord& record) override;
-  void on_current() override;
+  void on_caught_up() override;
   void on_reachable(bool reachable, Duration silence) override;
 
   void note_job_size(double tokens);
--- a/include/dockpoint/log/keyed_watch.hpp
+++ b/include/dockpoint/log/keyed_watch.hpp
@@ -21,7 +21,7 @@
   /// One record, newer than any told of its key before.
   virtual void on_record(const KeyedRecord& record) = 0;
   /// The watch reached the end of the partition.
-  virtual void on_current() = 0;
+  virtual void on_caught_up() = 0;
   /// Calls fail (`reachable` false) or succeed again.
   /// @param silence time between the last answer before and now.
   virtual void on_reachable(bool reachable, Duration silence) = 0;
@@ -78,7 +78,7 @@
   void reload();
   /// The machine was suspended: what was told is doubted until the log confirms it, and the call
   /// under way is given up, since its connection may be dead and its time limit did not run.
-  void doubt();
+  void mark_unconfirmed();
   /// Changes the bound that waits and time limits are derived from.
   void set_bound(Duration bound) { budget_ = FreshnessBudget(bound); }
 
--- a/include/dockpoint/log/partitioned_log.hpp
+++ b/include/dockpoint/log/partitioned_log.hpp
@@ -35,7 +35,7 @@
   kFenced,         ///< A higher epoch has been seen. Nothing was done.
   kOutOfSequence,  ///< Another sequence number is due. Nothing was done.
   kEndMoved,       ///< The partition does not end where the writer expected. Nothing was done.
-  kForgotten,      ///< The records asked for are gone.
+  kCompacted,      ///< The records asked for are gone.
   kNotMember,      ///< The group's generation does not match.
 };
 
--- a/include/dockpoint/routing/attempt_policy.hpp
+++ b/include/dockpoint/routing/attempt_policy.hpp
@@ -17,11 +17,11 @@
 
 /// What to do next.
 enum class NextStep {
-  kSendAgain,  ///< Send the request to another replica.
-  kResume,     ///< Go on with the stream at another replica.
-  kRefuse,     ///< It has not run and will not: refuse, with a time to come back.
-  kFail,       ///< It may have run: fail without a promise.
-  kBreakOff,   ///< Break the caller's connection: what it has is not complete.
+  kRetry,        ///< Send the request to another replica.
+  kResume,       ///< Go on with the stream at another replica.
+  kRefuse,       ///< It has not run and will not: refuse, with a time to come back.
+  kFail,         ///< It may have run: fail without a promise.
+  kAbortStream,  ///< Break the caller's connection: what it has is not complete.
 };
 
 /// The history of one request.
--- a/include/dockpoint/routing/online_dispatcher.hpp
+++ b/include/dockpoint/routing/online_dispatcher.hpp
@@ -79,8 +79,8 @@
   void attempt_ended(RequestNumber request, AttemptEnd end, TimePoint now);
 
   /// Starts no attempt before `until` or `release`; requests wait meanwhile.
-  void hold(TimePoint until) { held_until_ = until; }
-  void release(TimePoint now);
+  void pause(TimePoint until) { held_until_ = until; }
+  void resume(TimePoint now);
 
   /// Drives deadlines and the queue; call at least every 50 ms and after load reports.
   void tick(TimePoint now);
--- a/include/dockpoint/routing/removal_grace.hpp
+++ b/include/dockpoint/routing/removal_grace.hpp
@@ -32,18 +32,18 @@
   void log_regained(TimePoint now);
 
   /// The record of a replica is gone. @return whether the removal is held for now.
-  bool hold(const std::string& replica, TimePoint now);
+  bool defer(const std::string& replica, TimePoint now);
   /// The replica has a record.
-  void present(const std::string& replica) { held_.erase(replica); }
+  void cancel_deferral(const std::string& replica) { held_.erase(replica); }
   /// @return whether a removal of the replica is held.
-  bool holds(const std::string& replica) const { return held_.contains(replica); }
+  bool is_deferred(const std::string& replica) const { return held_.contains(replica); }
   /// @return whether no removal is held.
   bool empty() const { return held_.empty(); }
   /// @return whether so many removals held at once, of the known replicas of a service, look like a
   /// lapse of all.
-  static bool lapsed_together(std::size_t held, std::size_t known);
+  static bool is_mass_expiry(std::size_t held, std::size_t known);
   /// @return replicas whose time is over: they are gone, and not held any more.
-  std::vector<std::string> take_due(TimePoint now);
+  std::vector<std::string> take_expired(TimePoint now);
 
  private:
   const Knobs& knobs_;
--- a/src/batch/partition_owner.cpp
+++ b/src/batch/partition_owner.cpp
@@ -126,7 +126,7 @@
   }
 }
 
-void PartitionOwner::on_current() {
+void PartitionOwner::on_caught_up() {
   if (step_ == Step::kLoadingJobs) {
     step_ = Step::kActive;
     observer_.on_partition_active(partition_);
--- a/src/batch/token_quota.cpp
+++ b/src/batch/token_quota.cpp
@@ -52,7 +52,7 @@
   }
 }
 
-void TokenQuota::on_current() {
+void TokenQuota::on_caught_up() {
   refreshed_ = refresh_asked_;
   next_audit_ = std::min(next_audit_, now_ + audit_interval());
   renew_allotments();
--- a/src/emulator/memory_log.cpp
+++ b/src/emulator/memory_log.cpp
@@ -147,7 +147,7 @@
 ReadOutcome MemoryLog::read_now(const TopicPartition& id, LogOffset from) {
   const Partition& partition = partitions_[id];
   if (from < partition.first_kept) {
-    return {LogStatus::kForgotten, {}, partition.records.size()};
+    return {LogStatus::kCompacted, {}, partition.records.size()};
   }
   ReadOutcome outcome{LogStatus::kOk, {}, partition.records.size()};
   for (std::size_t offset = from; offset < partition.records.size(); ++offset) {
--- a/src/gateway/fleet_watch.cpp
+++ b/src/gateway/fleet_watch.cpp
@@ -26,7 +26,7 @@
         watch_(knobs, log, std::move(partition), seed, *this) {}
 
   void reload() { watch_.reload(); }
-  void doubt() { watch_.doubt(); }
+  void mark_unconfirmed() { watch_.mark_unconfirmed(); }
   void set_bound(Duration bound) { watch_.set_bound(bound); }
   void tick(TimePoint now, std::size_t peers) {
     watch_.set_peers(peers);
@@ -36,7 +36,7 @@
 
   void on_snapshot(const std::vector<KeyedRecord>& records) override { on_snapshot_(records); }
   void on_record(const KeyedRecord& record) override { on_record_(record); }
-  void on_current() override {}
+  void on_caught_up() override {}
   void on_reachable(bool reachable, Duration silence) override {
     spdlog::warn("fleet: log {} topic={} sinceAnswerMs={} position={}",
                  reachable ? "regained" : "lost", name_, to_ms(silence), watch_.position());
@@ -110,7 +110,7 @@
   const std::size_t telling = relays_ ? 0 : peers;
   configuration_follower_->tick(now, telling);
   replica_follower_->tick(now, telling);
-  for (const std::string& id : removal_grace_.take_due(now)) {
+  for (const std::string& id : removal_grace_.take_expired(now)) {
     remove_replica(id);
   }
   if (subset_revision_ != subset_.revision()) {
@@ -136,10 +136,10 @@
     }
     Count& count = services[replica.record.service];
     ++count.known;
-    count.held += removal_grace_.holds(name) ? 1 : 0;
+    count.held += removal_grace_.is_deferred(name) ? 1 : 0;
   }
   for (const auto& [service, count] : services) {
-    if (RemovalGrace::lapsed_together(count.held, count.known)) {
+    if (RemovalGrace::is_mass_expiry(count.held, count.known)) {
       lapsed_services_.insert(service);
     }
   }
@@ -147,7 +147,7 @@
   for (const auto& [id, replica] : context_.replicas.all()) {
     const std::string& name = replica.record.registered_name();
     const bool suspend =
-        removal_grace_.holds(name) && !lapsed_services_.contains(replica.record.service);
+        removal_grace_.is_deferred(name) && !lapsed_services_.contains(replica.record.service);
     if (suspend && !replica.record.draining) {
       suspended_.insert(name);
       changed.push_back(replica.record);
@@ -246,7 +246,7 @@
 }
 
 void FleetWatch::take_replica(const std::string& name, const std::string& value) {
-  removal_grace_.present(name);
+  removal_grace_.cancel_deferral(name);
   const auto known = records_.find(name);
   const bool suspended = suspended_.erase(name) > 0;
   if (known != records_.end() && known->second.value == value && !suspended) {
@@ -434,11 +434,11 @@
 
 void FleetWatch::drop_record(const std::string& id) {
   const auto known = records_.find(id);
-  if (known == records_.end() || removal_grace_.holds(id)) {
+  if (known == records_.end() || removal_grace_.is_deferred(id)) {
     return;
   }
   const bool used = context_.replicas.find(known->second.replica) != nullptr;
-  if (used && removal_grace_.hold(id, now_)) {
+  if (used && removal_grace_.defer(id, now_)) {
     spdlog::info("fleet: replica lapsed, kept for now replica={}", id);
   } else {
     remove_replica(id);
@@ -486,7 +486,7 @@
   state.operator_position = evacuations.position();
   state.evacuated_zones = {evacuations.zones().begin(), evacuations.zones().end()};
   for (const auto& [name, record] : records_) {
-    if (state.replicas_known && !removal_grace_.holds(name)) {
+    if (state.replicas_known && !removal_grace_.is_deferred(name)) {
       state.replicas.push_back({name, record.value});
     }
   }
@@ -517,9 +517,9 @@
   retain_replicas(ids);
 }
 
-void FleetWatch::doubt() {
-  configuration_follower_->doubt();
-  replica_follower_->doubt();
+void FleetWatch::mark_unconfirmed() {
+  configuration_follower_->mark_unconfirmed();
+  replica_follower_->mark_unconfirmed();
 }
 
 bool FleetWatch::needs_peer(TimePoint now) const {
--- a/src/gateway/fleet_watch.hpp
+++ b/src/gateway/fleet_watch.hpp
@@ -76,7 +76,7 @@
   /// @return whether the node should ask a peer: it lacks something that the log does not give.
   bool needs_peer(TimePoint now) const;
   /// The machine was suspended: what is known counts as doubtful until the log confirms it.
-  void doubt();
+  void mark_unconfirmed();
   /// @return what the node can say of the age of the configuration, and of the replicas' records.
   WatchAge configuration_age(TimePoint now) const;
   WatchAge replicas_age(TimePoint now) const;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -186,7 +186,7 @@
                  to_ms(*suspended), context_.configuration->version, online_.in_flight(),
                  batch_.lease_valid(now));
     metrics_.count_suspension();
-    fleet_.doubt();
+    fleet_.mark_unconfirmed();
     crash_watch_.catch_up(now);
   }
 }
--- a/src/gateway/online_call.cpp
+++ b/src/gateway/online_call.cpp
@@ -300,7 +300,7 @@
     return;
   }
   switch (step) {
-    case NextStep::kSendAgain:
+    case NextStep::kRetry:
     case NextStep::kResume:
       if (quarantined(now)) {
         give_up_quarantined(now);
@@ -314,7 +314,7 @@
     case NextStep::kFail:
       fail(502, "it may have run and may not be repeated");
       return;
-    case NextStep::kBreakOff:
+    case NextStep::kAbortStream:
       break_off("the stream cannot go on");
       return;
   }
--- a/src/gateway/quarantine_log.hpp
+++ b/src/gateway/quarantine_log.hpp
@@ -37,7 +37,7 @@
  private:
   void on_snapshot(const std::vector<KeyedRecord>& records) override;
   void on_record(const KeyedRecord& record) override;
-  void on_current() override {}
+  void on_caught_up() override {}
   void on_reachable(bool /*reachable*/, Duration /*silence*/) override {}
   void write(const RequestFingerprint& request);
 
--- a/src/gateway/record_protocol.cpp
+++ b/src/gateway/record_protocol.cpp
@@ -89,7 +89,7 @@
 
 RecordAnswer answer_of(const ReadOutcome& outcome) {
   RecordAnswer answer;
-  answer.forgotten = outcome.status == LogStatus::kForgotten;
+  answer.forgotten = outcome.status == LogStatus::kCompacted;
   answer.records = passed(outcome.records);
   answer.end = outcome.end;
   answer.next = outcome.next;
@@ -102,7 +102,7 @@
 }
 
 ReadOutcome read_outcome_of(const RecordAnswer& answer) {
-  return {answer.forgotten ? LogStatus::kForgotten : LogStatus::kOk, taken(answer.records),
+  return {answer.forgotten ? LogStatus::kCompacted : LogStatus::kOk, taken(answer.records),
           answer.end, answer.next, std::chrono::milliseconds(answer.age_ms)};
 }
 
--- a/src/gateway/relayed_log.cpp
+++ b/src/gateway/relayed_log.cpp
@@ -216,7 +216,7 @@
   log_.read(partition, from, times,
             [this, alive = alive_, done = std::move(done)](ReadOutcome outcome) {
               const bool answered =
-                  outcome.status == LogStatus::kOk || outcome.status == LogStatus::kForgotten;
+                  outcome.status == LogStatus::kOk || outcome.status == LogStatus::kCompacted;
               if (*alive && answered) {
                 sources_.succeeded(net::steady_now());
               } else if (*alive) {
--- a/src/log/keyed_watch.cpp
+++ b/src/log/keyed_watch.cpp
@@ -59,7 +59,7 @@
   }
 }
 
-void KeyedWatch::doubt() {
+void KeyedWatch::mark_unconfirmed() {
   state_->doubted = true;
   state_->wanted = true;
   state_->next_call_at = {};
@@ -148,7 +148,7 @@
   observer_.on_snapshot(records);
   if (state->alive) {
     state->confirmed_at = now_ - state->load_age;
-    observer_.on_current();
+    observer_.on_caught_up();
   }
   if (state->alive && !state->calling) {
     proceed();
@@ -175,7 +175,7 @@
 }
 
 void KeyedWatch::take_records(ReadOutcome outcome) {
-  if (outcome.status == LogStatus::kForgotten) {
+  if (outcome.status == LogStatus::kCompacted) {
     state_->loaded = false;
     load_page();
     return;
@@ -207,7 +207,7 @@
     state->next_call_at = now_ + knobs_.watch_pause;
   }
   state->confirmed_at = now_ - outcome.age;
-  observer_.on_current();
+  observer_.on_caught_up();
   if (state->alive && !state->calling && now_ >= state->next_call_at) {
     proceed();
   }
--- a/src/log/record_cache.cpp
+++ b/src/log/record_cache.cpp
@@ -75,7 +75,7 @@
 ReadOutcome RecordCache::read(LogOffset from, const Filter& filter) const {
   ReadOutcome outcome{LogStatus::kOk, {}, end_};
   if (from < first_) {
-    outcome.status = LogStatus::kForgotten;
+    outcome.status = LogStatus::kCompacted;
     return outcome;
   }
   outcome.next = end_;
--- a/src/node/controller/node_controller.cpp
+++ b/src/node/controller/node_controller.cpp
@@ -35,7 +35,7 @@
   if (paused && options_.knobs.mechanisms.pause_hold) {
     pause_noticed_ = now;
     held_until_ = now + options_.knobs.pause_hold;
-    online_.hold(held_until_);
+    online_.pause(held_until_);
   }
 }
 
@@ -137,7 +137,7 @@
   // A read that was under way during the pause brings old news.
   if (read_started >= pause_noticed_) {
     held_until_ = TimePoint{};
-    online_.release(now);
+    online_.resume(now);
   }
 }
 
--- a/src/routing/attempt_policy.cpp
+++ b/src/routing/attempt_policy.cpp
@@ -5,13 +5,13 @@
 
 NextStep give_up(const AttemptHistory& history) {
   if (history.answer_begun) {
-    return NextStep::kBreakOff;
+    return NextStep::kAbortStream;
   }
   return history.runs_possible == 0 ? NextStep::kRefuse : NextStep::kFail;
 }
 
 NextStep go_on(const AttemptHistory& history) {
-  return history.answer_begun ? NextStep::kResume : NextStep::kSendAgain;
+  return history.answer_begun ? NextStep::kResume : NextStep::kRetry;
 }
 
 }  // namespace
--- a/src/routing/online_dispatcher.cpp
+++ b/src/routing/online_dispatcher.cpp
@@ -77,7 +77,7 @@
   }
 }
 
-void OnlineDispatcher::release(TimePoint now) {
+void OnlineDispatcher::resume(TimePoint now) {
   held_until_ = TimePoint{};
   tick(now);
 }
--- a/src/routing/removal_grace.cpp
+++ b/src/routing/removal_grace.cpp
@@ -7,7 +7,7 @@
   believed_from_ = now + knobs_.removal_grace;
 }
 
-bool RemovalGrace::hold(const std::string& replica, TimePoint now) {
+bool RemovalGrace::defer(const std::string& replica, TimePoint now) {
   if (reachable_ && now >= believed_from_) {
     return false;
   }
@@ -16,12 +16,12 @@
   return true;
 }
 
-bool RemovalGrace::lapsed_together(std::size_t held, std::size_t known) {
+bool RemovalGrace::is_mass_expiry(std::size_t held, std::size_t known) {
   // Half of a service's replicas bear much of its load for the grace time; fewer do not.
   return held * 2 > known;
 }
 
-std::vector<std::string> RemovalGrace::take_due(TimePoint now) {
+std::vector<std::string> RemovalGrace::take_expired(TimePoint now) {
   std::vector<std::string> due;
   for (const auto& [replica, until] : held_) {
     if (now >= until) {
--- a/tests/gateway/record_relay_test.cpp
+++ b/tests/gateway/record_relay_test.cpp
@@ -167,7 +167,7 @@
   const TimePoint lost = net::steady_now();
   world.wait_for(waiting);
   BOOST_TEST((net::steady_now() - lost < 500ms));
-  BOOST_TEST((world.wait_for(read).status == LogStatus::kForgotten));
+  BOOST_TEST((world.wait_for(read).status == LogStatus::kCompacted));
 }
 
 // Not at once: the sources may be slow because the log is.
--- a/tests/log/keyed_watch_test.cpp
+++ b/tests/log/keyed_watch_test.cpp
@@ -45,7 +45,7 @@
       values[record.key] = record.value;
     }
   }
-  void on_current() override {}
+  void on_caught_up() override {}
   void on_reachable(bool reachable, Duration /*silence*/) override { losses += reachable ? 0 : 1; }
 };
 
@@ -120,7 +120,7 @@
     now += 60'000;
     log.faults.silent = false;
     put("k", std::to_string(phase));
-    watch.doubt();
+    watch.mark_unconfirmed();
     BOOST_TEST((watch.state(at(now)) == WatchState::kOverdue));
     run(200);
     BOOST_TEST((watch.state(at(now)) == WatchState::kFollowing));
--- a/tests/log/record_cache_test.cpp
+++ b/tests/log/record_cache_test.cpp
@@ -55,7 +55,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_lies_before_its_load_is_forgotten) {
-  BOOST_TEST((cache.read(5, {}).status == LogStatus::kForgotten));
+  BOOST_TEST((cache.read(5, {}).status == LogStatus::kCompacted));
 }
 
 BOOST_AUTO_TEST_CASE(removals_are_remembered_up_to_a_number) {
@@ -63,7 +63,7 @@
   for (std::size_t count = 0; count < RecordCache::kMostRemovals + 10; ++count) {
     cache.add({"gone-" + std::to_string(count), "", offset++});
   }
-  BOOST_TEST((cache.read(6, {}).status == LogStatus::kForgotten));
+  BOOST_TEST((cache.read(6, {}).status == LogStatus::kCompacted));
   BOOST_TEST((cache.read(16, {}).status == LogStatus::kOk));
 }
 
--- a/tests/platform/stand_in_store.hpp
+++ b/tests/platform/stand_in_store.hpp
@@ -102,7 +102,7 @@
         if (refused(exchange, outcome.status)) {
           return;
         }
-        if (outcome.status == LogStatus::kForgotten) {
+        if (outcome.status == LogStatus::kCompacted) {
           reply(exchange, 410, {{"first", outcome.end}});
           return;
         }
--- a/tests/routing/attempt_policy_test.cpp
+++ b/tests/routing/attempt_policy_test.cpp
@@ -27,7 +27,7 @@
 BOOST_AUTO_TEST_CASE(what_did_not_run_is_sent_again_and_then_refused) {
   AttemptHistory past = history(false, false, 1);
   for (int send = 1; send < kKnobs.maximum_sends_not_run; ++send) {
-    BOOST_TEST(decides(past, AttemptFailure::kNotRun, NextStep::kSendAgain));
+    BOOST_TEST(decides(past, AttemptFailure::kNotRun, NextStep::kRetry));
   }
   BOOST_TEST(decides(past, AttemptFailure::kNotRun, NextStep::kRefuse));
 }
@@ -37,9 +37,9 @@
   BOOST_TEST(decides(once, AttemptFailure::kMayHaveRun, NextStep::kFail));
 
   AttemptHistory repeatable = history(true, false, 2);
-  BOOST_TEST(decides(repeatable, AttemptFailure::kMayHaveRun, NextStep::kSendAgain));
+  BOOST_TEST(decides(repeatable, AttemptFailure::kMayHaveRun, NextStep::kRetry));
   for (int send = 1; send < kKnobs.maximum_sends_not_run; ++send) {
-    BOOST_TEST(decides(repeatable, AttemptFailure::kNotRun, NextStep::kSendAgain));
+    BOOST_TEST(decides(repeatable, AttemptFailure::kNotRun, NextStep::kRetry));
   }
   // One attempt may have run: the refusal would be a false promise.
   BOOST_TEST(decides(repeatable, AttemptFailure::kNotRun, NextStep::kFail));
@@ -47,20 +47,20 @@
 
 BOOST_AUTO_TEST_CASE(no_more_attempts_run_than_the_route_allows) {
   AttemptHistory past = history(true, false, 2);
-  BOOST_TEST(decides(past, AttemptFailure::kMayHaveRun, NextStep::kSendAgain));
+  BOOST_TEST(decides(past, AttemptFailure::kMayHaveRun, NextStep::kRetry));
   BOOST_TEST(decides(past, AttemptFailure::kMayHaveRun, NextStep::kFail));
 }
 
 BOOST_AUTO_TEST_CASE(a_stream_goes_on_only_if_it_may_be_resumed) {
   AttemptHistory plain = history(false, false, 2);
   plain.answer_begun = true;
-  BOOST_TEST(decides(plain, AttemptFailure::kInterrupted, NextStep::kBreakOff));
+  BOOST_TEST(decides(plain, AttemptFailure::kInterrupted, NextStep::kAbortStream));
 
   AttemptHistory resumable = history(true, true, 2);
   resumable.answer_begun = true;
   BOOST_TEST(decides(resumable, AttemptFailure::kInterrupted, NextStep::kResume));
   BOOST_TEST(decides(resumable, AttemptFailure::kNotRun, NextStep::kResume));
-  BOOST_TEST(decides(resumable, AttemptFailure::kInterrupted, NextStep::kBreakOff));
+  BOOST_TEST(decides(resumable, AttemptFailure::kInterrupted, NextStep::kAbortStream));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/removal_grace_test.cpp
+++ b/tests/routing/removal_grace_test.cpp
@@ -21,37 +21,37 @@
 BOOST_FIXTURE_TEST_SUITE(removal_grace, Fixture)
 
 BOOST_AUTO_TEST_CASE(a_removal_counts_at_once_while_the_log_is_there) {
-  BOOST_TEST(!grace.hold("r1", at(1'000)));
-  BOOST_TEST(!grace.holds("r1"));
+  BOOST_TEST(!grace.defer("r1", at(1'000)));
+  BOOST_TEST(!grace.is_deferred("r1"));
 }
 
 BOOST_AUTO_TEST_CASE(what_lapsed_while_the_log_was_away_has_time_to_come_back) {
   grace.log_lost();
   grace.log_regained(at(10'000));
-  BOOST_TEST(grace.hold("r1", at(10'000)));
-  BOOST_TEST(grace.hold("r2", at(10'000)));
-  grace.present("r1");
-  BOOST_TEST(grace.take_due(at(11'999)) == kNone, boost::test_tools::per_element());
+  BOOST_TEST(grace.defer("r1", at(10'000)));
+  BOOST_TEST(grace.defer("r2", at(10'000)));
+  grace.cancel_deferral("r1");
+  BOOST_TEST(grace.take_expired(at(11'999)) == kNone, boost::test_tools::per_element());
   const std::vector<std::string> gone{"r2"};
-  BOOST_TEST(grace.take_due(at(12'000)) == gone, boost::test_tools::per_element());
-  BOOST_TEST(!grace.holds("r2"));
-  BOOST_TEST(!grace.hold("r1", at(12'000)));
+  BOOST_TEST(grace.take_expired(at(12'000)) == gone, boost::test_tools::per_element());
+  BOOST_TEST(!grace.is_deferred("r2"));
+  BOOST_TEST(!grace.defer("r1", at(12'000)));
 }
 
 BOOST_AUTO_TEST_CASE(a_removal_late_in_the_grace_time_is_not_held_beyond_it) {
   grace.log_lost();
   grace.log_regained(at(10'000));
-  BOOST_TEST(grace.hold("r1", at(11'900)));
-  BOOST_TEST(grace.take_due(at(12'000)).size() == 1U);
+  BOOST_TEST(grace.defer("r1", at(11'900)));
+  BOOST_TEST(grace.take_expired(at(12'000)).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(
     a_removal_that_a_peer_tells_while_the_log_is_away_counts_after_the_grace_time) {
   grace.log_lost();
-  BOOST_TEST(grace.hold("r1", at(10'000)));
-  BOOST_TEST(grace.hold("r1", at(11'000)));  // Told again: the first time counts.
-  BOOST_TEST(grace.take_due(at(11'999)).empty());
-  BOOST_TEST(grace.take_due(at(12'000)).size() == 1U);
+  BOOST_TEST(grace.defer("r1", at(10'000)));
+  BOOST_TEST(grace.defer("r1", at(11'000)));  // Told again: the first time counts.
+  BOOST_TEST(grace.take_expired(at(11'999)).empty());
+  BOOST_TEST(grace.take_expired(at(12'000)).size() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
