--- a/include/dockpoint/routing/attempt_policy.hpp
+++ b/include/dockpoint/routing/attempt_policy.hpp
@@ -2,39 +2,39 @@
 
 #include "dockpoint/core/knobs.hpp"
 
-/// What to do when an attempt of an online request has ended.
+/// Retry policy for online requests.
 ///
-/// A request that was sent and not answered may have run. It is sent again only if it may be
-/// repeated; a refusal that promises "not run" is given only if no attempt may have run.
+/// A request that was sent and got no answer may have run, so it is retried only if it is
+/// repeatable. A refusal that promises "not run" is given only if no attempt may have run.
 namespace dockpoint {
 
-/// How an attempt ended without an answer for the caller.
+/// Failure of an attempt, classified by what the engine may have done.
 enum class AttemptFailure {
-  kNotRun,       ///< The replica said so, or no connection took a byte.
-  kMayHaveRun,   ///< It was sent, and no answer came that the caller could be given.
-  kInterrupted,  ///< The caller has a part of the answer.
+  kNotRun,       ///< The replica reported it, or no connection accepted a byte.
+  kMayHaveRun,   ///< The request was sent, but no answer usable for the caller arrived.
+  kInterrupted,  ///< The caller has received part of the answer.
 };
 
-/// What to do next.
+/// Action that follows a failed attempt.
 enum class NextStep {
   kRetry,        ///< Send the request to another replica.
-  kResume,       ///< Go on with the stream at another replica.
-  kRefuse,       ///< It has not run and will not: refuse, with a time to come back.
-  kFail,         ///< It may have run: fail without a promise.
-  kAbortStream,  ///< Break the caller's connection: what it has is not complete.
+  kResume,       ///< Resume the stream at another replica.
+  kRefuse,       ///< Refuse with a retry time: the request has not run and will not run.
+  kFail,         ///< Fail without a promise: the request may have run.
+  kAbortStream,  ///< Close the caller's connection: the answer it received is incomplete.
 };
 
-/// The history of one request.
+/// Attempts of one request so far.
 struct AttemptHistory {
   bool repeatable = false;
   bool resumable = false;
-  int attempts_allowed = 1;   ///< Replicas that may run it.
-  int runs_possible = 0;      ///< Attempts that may have run.
-  int not_run_in_row = 0;     ///< Since the last attempt that may have run.
-  bool answer_begun = false;  ///< The caller has received a part of the answer.
+  int attempts_allowed = 1;  ///< Limit on attempts that may have run.
+  int runs_possible = 0;     ///< Attempts that may have run.
+  int not_run_in_row = 0;  ///< Consecutive attempts that did not run, since the last that may have.
+  bool answer_begun = false;  ///< The caller has received part of the answer.
 };
 
-/// Counts a failed attempt and decides. Pure.
+/// Records a failed attempt in `history` and returns the next step. Has no other side effects.
 NextStep decide_after_failure(AttemptHistory& history, AttemptFailure failure, const Knobs& knobs);
 
 }  // namespace dockpoint
--- a/include/dockpoint/routing/engine_load.hpp
+++ b/include/dockpoint/routing/engine_load.hpp
@@ -6,7 +6,7 @@
 
 namespace dockpoint {
 
-/// What an engine reports of itself. Reports lag; `sequence` orders those of one incarnation.
+/// Load report of an engine. Reports arrive late; `sequence` orders the reports of one incarnation.
 struct EngineLoad {
   std::uint64_t incarnation = 0;  ///< Changes when the engine restarts.
   std::uint64_t sequence = 0;
@@ -14,7 +14,7 @@
   std::uint32_t running_batch = 0;
   std::uint32_t waiting_online = 0;
   std::uint32_t waiting_batch = 0;
-  bool leaving = false;  ///< The engine announces that it will stop.
+  bool leaving = false;  ///< The engine announces its shutdown.
   DOCKPOINT_FIELDS(incarnation, sequence, running_online, running_batch, waiting_online,
                    waiting_batch, leaving)
 
@@ -27,14 +27,14 @@
   }
 };
 
-/// The load of one engine, as its steward passes it on.
+/// Load report of one engine as forwarded by the node that polls it.
 struct EngineDigest {
-  std::uint32_t engine_key = 0;  ///< Hash of the engine's name, which would be longer.
+  std::uint32_t engine_key = 0;  ///< Hash of the engine's name, to keep digests short.
   EngineLoad load;
   DOCKPOINT_FIELDS(engine_key, load)
 };
 
-/// @return the key of an engine in digests.
+/// @return the key that identifies an engine in digests.
 std::uint32_t engine_key(const std::string& name);
 
 }  // namespace dockpoint
--- a/include/dockpoint/routing/engine_table.hpp
+++ b/include/dockpoint/routing/engine_table.hpp
@@ -12,70 +12,71 @@
 #include "dockpoint/core/time.hpp"
 #include "dockpoint/routing/engine_load.hpp"
 
-/// What one node knows of the engines.
+/// A node's view of the engines.
 namespace dockpoint {
 
-/// Kind of work that an engine distinguishes by priority.
+/// Class of work; engines prioritize by it.
 enum class WorkClass { kOnline, kBatch };
 
-/// How an attempt on an engine ended, as far as the engine's health is concerned.
+/// Result of an attempt as it affects the engine's health.
 enum class EngineHealthSignal { kAnswered, kFailed };
 
-/// One engine as seen from this node: its configuration, its last report, and what this node has
-/// sent since.
+/// One engine as seen from this node: configuration, last load report, and this node's own
+/// requests.
 struct EngineView {
   EngineConfig config;
   EngineLoad load;
   bool reported = false;
   TimePoint reported_at{};
-  int online_in_flight = 0;  ///< Of this node.
-  int batch_in_flight = 0;   ///< Of this node.
-  /// Online sequences of other nodes: what the last report counts beyond this node's own.
-  int online_of_others = 0;
-  int online_peak = 0;         ///< Of this node's requests since the last report.
-  int online_peak_before = 0;  ///< And between the last two.
+  int online_in_flight = 0;  ///< Sent by this node.
+  int batch_in_flight = 0;   ///< Sent by this node.
+  /// Online sequences sent by other nodes: the last report's count minus this node's own.
+  int online_of_other_nodes = 0;
+  int online_peak = 0;           ///< Peak of this node's requests since the last report.
+  int previous_online_peak = 0;  ///< The same between the last two reports.
   int failures_in_row = 0;
   int ejections = 0;
   TimePoint ejected_until{};
-  bool listed_as_leaving = false;      ///< By the platform's machine list.
-  std::uint64_t left_incarnation = 0;  ///< Incarnation that announced its leave; 0: none.
+  bool listed_as_leaving = false;      ///< The platform's machine list marks it as leaving.
+  std::uint64_t left_incarnation = 0;  ///< Incarnation that announced its shutdown; 0: none.
 
-  /// @return sequences of online requests estimated to run or wait there now.
+  /// @return the estimated number of online sequences that run or wait there now.
   int estimated_online() const;
-  /// @return the estimate as a share of the slots.
+  /// @return that estimate divided by the number of slots.
   double online_utilization() const;
-  /// @return whether any source says that the engine leaves.
+  /// @return whether any source reports that the engine is leaving.
   bool leaving() const;
 };
 
 /// Table of engines. Not thread-safe.
 ///
-/// A leave is told by the engine's own reports, by the machine list and by the configuration; the
-/// first to say so counts. A report of the same incarnation cannot undo it.
+/// An engine is leaving as soon as its own reports, the machine list or the configuration say so. A
+/// later report of the same incarnation cannot revoke it.
 class EngineTable {
  public:
   explicit EngineTable(const Knobs& knobs) : knobs_(knobs) {}
 
-  /// Takes a new configuration; keeps what is known of engines that stay.
+  /// Applies a new configuration; keeps the state of engines that remain.
   void configure(std::shared_ptr<const FleetConfig> config);
 
-  /// Takes a report, from the engine itself or passed on by a steward; older ones are ignored.
-  /// @return whether it was news.
+  /// Applies a report that came from the engine or from a node that polls it; ignores one that is
+  /// not newer than the last.
+  /// @return whether the report was newer.
   bool report(const std::string& engine, const EngineLoad& load, TimePoint now);
 
-  /// Takes a report that a steward passed on.
+  /// Applies a report forwarded by the node that polls the engine.
   bool report(const EngineDigest& digest, TimePoint now);
 
-  /// Takes the machine list: the addresses of leaving engines.
+  /// Sets the addresses that the machine list marks as leaving.
   void set_leaving_addresses(const std::vector<std::string>& addresses);
 
   void started(const std::string& engine, WorkClass work);
   void ended(const std::string& engine, WorkClass work, EngineHealthSignal signal, TimePoint now);
 
-  /// @return whether the engine may take new work.
+  /// @return whether the engine accepts new work.
   bool usable(const EngineView& engine, TimePoint now) const;
 
-  /// @return the engines that may serve the service now.
+  /// @return the usable engines that are eligible for the service.
   std::vector<const EngineView*> candidates(const ServiceConfig& service, TimePoint now) const;
 
   const EngineView* find(const std::string& engine) const;
--- a/include/dockpoint/routing/online_dispatcher.hpp
+++ b/include/dockpoint/routing/online_dispatcher.hpp
@@ -14,13 +14,13 @@
 
 /// Admission, routing and retries of online requests on one node.
 ///
-/// A request goes to an engine at once if one is open. Otherwise it waits in a bounded queue that
-/// is fair across tenants, unless the estimated wait already exceeds its deadline. Whoever is
-/// given up on is told at once, with the time to come back.
+/// A request is sent at once if an engine has capacity. Otherwise it waits in a bounded queue that
+/// is fair across tenants, unless the estimated wait already exceeds its deadline. A request that
+/// is given up is refused immediately with a retry-after time.
 ///
-/// Retries. An attempt is repeated on another engine only if it certainly did not run, or if the
-/// request is repeatable and none of its answer has reached the caller; never beyond the retry
-/// budget, `maximum_attempts` or the deadline.
+/// An attempt is retried on another engine only if it certainly did not run, or if the request is
+/// repeatable and the caller has received no part of the answer. Retries are limited by the retry
+/// budget, `maximum_attempts` and the deadline.
 namespace dockpoint {
 
 using RequestNumber = std::uint64_t;
@@ -35,28 +35,28 @@
   TimePoint deadline{};
 };
 
-/// How an attempt on an engine ended.
+/// Result of an attempt on an engine.
 enum class AttemptEnd {
-  kCompleted,    ///< The whole answer was delivered, or an answer that no retry would change.
-  kNotSent,      ///< No connection to the engine could be made.
-  kRefused,      ///< The engine answered that it did not run it.
-  kUnknown,      ///< It was sent and the answer did not come; the caller has received nothing.
-  kInterrupted,  ///< The caller has received a part of the answer.
-  kDeadline,     ///< The deadline passed first; the engine was told to stop.
-  kCallerGone,   ///< The caller closed its connection; the engine was told to stop.
+  kCompleted,    ///< The complete answer was delivered, or an error that no retry would change.
+  kNotSent,      ///< No connection to the engine could be established.
+  kRefused,      ///< The engine answered that it did not run the request.
+  kUnknown,      ///< The request was sent but not answered; the caller has received nothing.
+  kInterrupted,  ///< The caller has received part of the answer.
+  kDeadline,     ///< The deadline passed; the engine was told to cancel.
+  kCallerGone,   ///< The caller closed its connection; the engine was told to cancel.
 };
 
-/// What the dispatcher wants done; must not block or call back.
+/// Side effects that the dispatcher requests. Implementations must not block or call back.
 class OnlineActions {
  public:
   virtual ~OnlineActions() = default;
-  /// Sends the request to `engine`, which ends in `OnlineDispatcher::attempt_ended`.
+  /// Sends the request to `engine`; report its end with `OnlineDispatcher::attempt_ended`.
   virtual void start_attempt(RequestNumber request, const EngineConfig& engine, int priority) = 0;
   /// Ends the request with an error.
   virtual void refuse(RequestNumber request, const Error& error) = 0;
 };
 
-/// Counts since the start of the node.
+/// Counters since the start of the node.
 struct OnlineCounts {
   std::uint64_t admitted = 0;
   std::uint64_t completed = 0;
@@ -70,19 +70,19 @@
   OnlineDispatcher(const Knobs& knobs, EngineTable& engines, Router& router,
                    OnlineActions& actions);
 
-  /// Takes the limits of a new configuration into use and retries what waits.
+  /// Applies the limits of a new configuration and retries the waiting requests.
   void configure(TimePoint now);
 
   void submit(OnlineRequest request, TimePoint now);
 
-  /// Reports the end of the attempt that `start_attempt` began.
+  /// Reports the end of the attempt started by `start_attempt`.
   void attempt_ended(RequestNumber request, AttemptEnd end, TimePoint now);
 
-  /// Starts no attempt before `until` or `release`; requests wait meanwhile.
-  void pause(TimePoint until) { held_until_ = until; }
+  /// Starts no attempts until `until` or until `resume` is called; requests wait meanwhile.
+  void pause(TimePoint until) { paused_until_ = until; }
   void resume(TimePoint now);
 
-  /// Drives deadlines and the queue; call at least every 50 ms and after load reports.
+  /// Processes deadlines and the queue; call at least every 50 ms and after load reports.
   void tick(TimePoint now);
 
   std::size_t waiting() const { return queue_.size(); }
@@ -92,25 +92,25 @@
  private:
   struct State {
     OnlineRequest request;
-    std::string engine;  ///< Of the running attempt; empty while waiting.
+    std::string engine;  ///< Engine of the running attempt; empty while waiting.
     TimePoint started{};
     int attempts = 0;
-    bool may_have_run = false;  ///< An earlier attempt ended without a certain answer.
+    bool may_have_run = false;  ///< An earlier attempt ended with an unknown outcome.
     std::set<std::string> failed_engines;
   };
 
-  /// Tries to start the request. @return false if every engine is busy.
+  /// @return false if every engine is busy; otherwise the request has started or has failed.
   bool try_start(State& state, TimePoint now);
   void enqueue(State& state, TimePoint now);
   void retry_or_refuse(State& state, TimePoint now);
   void complete(const State& state, TimePoint now);
-  /// Ends a request with an error that says whether it may have run.
+  /// Ends a request with an error that states whether it may have run.
   void finish_with_error(RequestNumber request, ResultCode code, std::string message);
   Duration estimated_wait(const OnlineRequest& request, const ServiceConfig& service,
                           TimePoint now) const;
-  void note_start(TimePoint now);
-  /// @return requests a second that this node could start since its queue was last empty, or zero
-  /// if that is too short a time to tell.
+  void record_start(TimePoint now);
+  /// @return start rate (requests a second) of this node since its queue was last empty, or zero if
+  /// that period is too short for an estimate.
   double measured_start_rate(TimePoint now) const;
   std::chrono::seconds retry_after() const;
 
@@ -123,9 +123,9 @@
   std::map<RequestNumber, State> requests_;
   double mean_service_seconds_;
   Duration last_wait_estimate_{};
-  TimePoint held_until_{};
-  std::optional<TimePoint> busy_since_;  ///< The queue has not been empty since.
-  std::deque<TimePoint> busy_starts_;    ///< Recent starts in this busy time.
+  TimePoint paused_until_{};
+  std::optional<TimePoint> busy_since_;  ///< Time since which the queue has not been empty.
+  std::deque<TimePoint> busy_starts_;    ///< Recent starts within this busy period.
   OnlineCounts counts_;
 };
 
--- a/include/dockpoint/routing/removal_grace.hpp
+++ b/include/dockpoint/routing/removal_grace.hpp
@@ -7,18 +7,19 @@
 
 #include "dockpoint/core/knobs.hpp"
 
-/// When a replica whose record is gone from the log is taken as gone.
+/// Decides when a replica whose record was removed from the log is treated as gone.
 ///
-/// Records are leases: while the log is away nobody can renew them, and all may lapse at once
-/// though every replica lives. Live replicas write theirs again within a grace time after the log's
-/// return. A removal that is learnt while the log is away, or within that time after its return, is
-/// therefore held until the time is over, and forgotten if the record comes back. At all other
-/// times a removal counts at once.
+/// Records are leases: during a log outage they cannot be renewed, and all may expire at once
+/// although every replica is alive. Live replicas write their records again within a grace period
+/// after the log recovers. A removal learnt during an outage, or within the grace period after it,
+/// is therefore deferred until the period ends, and cancelled if the record reappears. At all other
+/// times a removal takes effect at once.
 ///
-/// A replica whose removal is held gets work only if more than half of its service have been held
-/// together: they must have lapsed, and those that are not back yet stay in use. Fewer that are
-/// gone have rather left while this node was cut off: it may have missed that they drain, and would
-/// send to them for the grace time on top of its own absence.
+/// A replica whose removal is deferred gets work only if more than half of its service's replicas
+/// are deferred together: then their leases must have expired in the outage, and replicas that are
+/// not back yet remain in use. If fewer are missing, they more likely left while this node was cut
+/// off: it may have missed their drain, and would send to them for the grace period in addition to
+/// its own outage.
 namespace dockpoint {
 
 /// See the top of this file. Free of I/O and clocks; not thread-safe.
@@ -26,30 +27,30 @@
  public:
   explicit RemovalGrace(const Knobs& knobs) : knobs_(knobs) {}
 
-  /// This node does not reach the log any more.
+  /// This node lost its connection to the log.
   void log_lost() { reachable_ = false; }
-  /// It reaches the log again.
+  /// This node reaches the log again.
   void log_regained(TimePoint now);
 
-  /// The record of a replica is gone. @return whether the removal is held for now.
+  /// Reports that a replica's record was removed. @return whether the removal is deferred.
   bool defer(const std::string& replica, TimePoint now);
-  /// The replica has a record.
-  void cancel_deferral(const std::string& replica) { held_.erase(replica); }
-  /// @return whether a removal of the replica is held.
-  bool is_deferred(const std::string& replica) const { return held_.contains(replica); }
-  /// @return whether no removal is held.
-  bool empty() const { return held_.empty(); }
-  /// @return whether so many removals held at once, of the known replicas of a service, look like a
-  /// lapse of all.
+  /// Cancels a deferred removal because the replica has a record.
+  void cancel_deferral(const std::string& replica) { deferred_.erase(replica); }
+  /// @return whether the replica's removal is deferred.
+  bool is_deferred(const std::string& replica) const { return deferred_.contains(replica); }
+  /// @return whether no removal is deferred.
+  bool empty() const { return deferred_.empty(); }
+  /// @return whether `held` deferred removals among the `known` replicas of a service indicate that
+  /// their leases expired together.
   static bool is_mass_expiry(std::size_t held, std::size_t known);
-  /// @return replicas whose time is over: they are gone, and not held any more.
+  /// @return replicas whose grace period is over, and stops deferring them.
   std::vector<std::string> take_expired(TimePoint now);
 
  private:
   const Knobs& knobs_;
   bool reachable_ = true;
-  TimePoint believed_from_{};              ///< Removals count at once from then on.
-  std::map<std::string, TimePoint> held_;  ///< Until when, a replica each.
+  TimePoint grace_ends_at_{};                  ///< From then on removals take effect at once.
+  std::map<std::string, TimePoint> deferred_;  ///< End of the grace period by replica.
 };
 
 }  // namespace dockpoint
--- a/include/dockpoint/routing/router.hpp
+++ b/include/dockpoint/routing/router.hpp
@@ -9,14 +9,14 @@
 
 namespace dockpoint {
 
-/// What the choice of an engine depends on.
+/// Input of the choice of an engine.
 struct RouteQuery {
   const ServiceConfig* service = nullptr;
-  std::uint64_t prefix_key = 0;    ///< Hash of the start of the prompt; 0: none.
-  std::set<std::string> excluded;  ///< Engines that failed this request before.
+  std::uint64_t prefix_key = 0;    ///< Hash of the prompt's prefix; 0: none.
+  std::set<std::string> excluded;  ///< Engines on which this request has failed before.
 };
 
-/// Why there is no engine.
+/// Why no engine was chosen.
 enum class RouteFailure { kNone, kNoEligibleEngine, kAllBusy };
 
 struct RouteChoice {
@@ -26,21 +26,22 @@
 
 /// Chooses the engine of an online request.
 ///
-/// Requests that share a prefix go to the same engine, by rendezvous hashing, so that its prefix
-/// cache is used, unless it is loaded above `affinity_load_bound` times the mean. Otherwise the
-/// less loaded of two random candidates is taken, its own zone first among equals: choosing the
-/// least loaded of all would send every node to the same engine while reports lag.
+/// Requests with the same prefix go to the same engine, chosen by rendezvous hashing, to use its
+/// prefix cache, unless its load exceeds `affinity_load_bound` times the mean. Otherwise the less
+/// loaded of two random candidates is taken, with a preference for the node's own zone between
+/// similarly loaded ones. Choosing the least loaded of all engines would send every node to the
+/// same engine, because load reports lag.
 class Router {
  public:
-  /// @param zone of this node.
+  /// @param zone zone of this node.
   Router(const Knobs& knobs, const EngineTable& engines, std::string zone, std::uint64_t seed);
 
   RouteChoice choose(const RouteQuery& query, TimePoint now);
 
  private:
-  const EngineView* by_prefix(const std::vector<const EngineView*>& open,
-                              std::uint64_t prefix_key) const;
-  const EngineView* by_two_choices(const std::vector<const EngineView*>& open);
+  const EngineView* choose_by_prefix(const std::vector<const EngineView*>& open,
+                                     std::uint64_t prefix_key) const;
+  const EngineView* choose_of_two(const std::vector<const EngineView*>& open);
   double cost(const EngineView& engine) const;
 
   const Knobs& knobs_;
--- a/src/routing/attempt_policy.cpp
+++ b/src/routing/attempt_policy.cpp
@@ -10,7 +10,7 @@
   return history.runs_possible == 0 ? NextStep::kRefuse : NextStep::kFail;
 }
 
-NextStep go_on(const AttemptHistory& history) {
+NextStep retry_or_resume(const AttemptHistory& history) {
   return history.answer_begun ? NextStep::kResume : NextStep::kRetry;
 }
 
@@ -19,13 +19,14 @@
 NextStep decide_after_failure(AttemptHistory& history, AttemptFailure failure, const Knobs& knobs) {
   if (failure == AttemptFailure::kNotRun) {
     ++history.not_run_in_row;
-    return history.not_run_in_row < knobs.maximum_sends_not_run ? go_on(history) : give_up(history);
+    return history.not_run_in_row < knobs.maximum_sends_not_run ? retry_or_resume(history)
+                                                                : give_up(history);
   }
   ++history.runs_possible;
   history.not_run_in_row = 0;
   const bool allowed = history.answer_begun ? history.resumable : history.repeatable;
   if (allowed && history.runs_possible < history.attempts_allowed) {
-    return go_on(history);
+    return retry_or_resume(history);
   }
   return give_up(history);
 }
--- a/src/routing/engine_table.cpp
+++ b/src/routing/engine_table.cpp
@@ -11,7 +11,7 @@
 }
 
 int EngineView::estimated_online() const {
-  return online_in_flight + online_of_others;
+  return online_in_flight + online_of_other_nodes;
 }
 
 double EngineView::online_utilization() const {
@@ -56,12 +56,12 @@
   view.load = load;
   view.reported = true;
   view.reported_at = now;
-  // The report is old: it may count requests of this node that have ended since. Whatever it counts
-  // beyond the most that this node had there lately belongs to others.
+  // The report lags and may count requests of this node that have ended since. Only the part beyond
+  // this node's recent peak is attributed to other nodes.
   const int reported_online = static_cast<int>(load.running_online + load.waiting_online);
-  const int own = std::max(view.online_peak, view.online_peak_before);
-  view.online_of_others = std::max(0, reported_online - own);
-  view.online_peak_before = view.online_peak;
+  const int own = std::max(view.online_peak, view.previous_online_peak);
+  view.online_of_other_nodes = std::max(0, reported_online - own);
+  view.previous_online_peak = view.online_peak;
   view.online_peak = view.online_in_flight;
   return true;
 }
@@ -121,7 +121,7 @@
   const Duration time = knobs_.ejection_time * (1 << std::min(engine.ejections, kMaximumDoublings));
   engine.ejected_until = now + std::min(time, knobs_.ejection_time_limit);
   ++engine.ejections;
-  // One failure after the ejection ends is enough to eject again.
+  // After the ejection a single failure ejects the engine again.
   engine.failures_in_row = knobs_.ejection_failures - 1;
 }
 
--- a/src/routing/load_digest.cpp
+++ b/src/routing/load_digest.cpp
@@ -6,17 +6,17 @@
 namespace dockpoint {
 namespace {
 
-/// First byte of a digest; MessagePack never uses it.
-constexpr char kTag = '\xc1';
+/// First byte of a digest; unused in MessagePack.
+constexpr char kDigestTag = '\xc1';
 
-/// First byte of a collection; in MessagePack a message between nodes never begins with it.
+/// First byte of a collection; no MessagePack message between nodes starts with it.
 constexpr char kCollectionTag = '\xc2';
 
-/// Of an empty collection without its zone, and of each node heard in it.
+/// Upper bounds on the bytes of an empty collection without its zone, and of each node key in it.
 constexpr std::size_t kCollectionOverhead = 24;
 constexpr std::size_t kNodeBytes = 5;
 
-/// Numbers of each entry in the flat list.
+/// Numbers per entry in the flat lists of `Wire`.
 constexpr std::size_t kEntryNumbers = 5;
 constexpr std::size_t kSpendNumbers = 3;
 constexpr std::size_t kPaceNumbers = 2;
@@ -27,14 +27,14 @@
   std::uint64_t fleet_position = 0;
   bool log_reachable = false;
   std::uint32_t pending_items = 0;
-  std::vector<std::uint32_t> numbers;  ///< Those of each entry, in the order of its fields.
+  std::vector<std::uint32_t> numbers;  ///< Entries, flattened in the order of their fields.
   std::uint32_t run = 0;
   std::uint32_t number = 0;
   std::uint32_t known_nodes = 0;
-  std::vector<std::uint32_t> spends;  ///< Like `numbers`.
+  std::vector<std::uint32_t> spends;  ///< Flattened like `numbers`.
   std::uint64_t operator_position = 0;
   bool without_load = false;
-  std::vector<std::uint32_t> paces;  ///< Like `numbers`.
+  std::vector<std::uint32_t> paces;  ///< Flattened like `numbers`.
   DOCKPOINT_FIELDS(node, configuration_version, fleet_position, log_reachable, pending_items,
                    numbers, run, number, known_nodes, spends, operator_position, without_load,
                    paces)
@@ -79,11 +79,11 @@
   for (const PaceEntry& pace : digest.paces) {
     wire.paces.insert(wire.paces.end(), {pace.replica_key, pace.step_us});
   }
-  return kTag + pack(wire);
+  return kDigestTag + pack(wire);
 }
 
 bool is_load_digest(std::string_view bytes) {
-  return bytes.starts_with(kTag);
+  return bytes.starts_with(kDigestTag);
 }
 
 std::optional<LoadDigest> decode_load_digest(std::string_view bytes) {
--- a/src/routing/online_dispatcher.cpp
+++ b/src/routing/online_dispatcher.cpp
@@ -6,10 +6,10 @@
 namespace dockpoint {
 namespace {
 
-/// Weight of the newest service time in the running mean.
+/// Weight of the newest service time in the exponential moving average.
 constexpr double kServiceTimeSmoothing = 0.05;
 
-/// Starts are counted over so long, and not before so long, for an estimate of the wait.
+/// Longest window of the measured start rate, and the shortest busy period that allows an estimate.
 constexpr Duration kRateWindow = std::chrono::seconds(5);
 constexpr Duration kShortestBusyTime = std::chrono::milliseconds(500);
 
@@ -17,7 +17,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-/// A refusal is an answer: only lost engines count against their health.
+/// A refusal counts as an answer: only unreachable or lost engines count as failed.
 EngineHealthSignal health_signal(AttemptEnd end) {
   switch (end) {
     case AttemptEnd::kNotSent:
@@ -67,7 +67,7 @@
     finish_with_error(number, ResultCode::kDeadlineExceeded, "the deadline has passed");
     return;
   }
-  // Whoever already waits goes first.
+  // Requests that already wait go first.
   const bool others_wait = queue_.size() > 0;
   if (others_wait || !try_start(state, now)) {
     enqueue(state, now);
@@ -78,12 +78,12 @@
 }
 
 void OnlineDispatcher::resume(TimePoint now) {
-  held_until_ = TimePoint{};
+  paused_until_ = TimePoint{};
   tick(now);
 }
 
 bool OnlineDispatcher::try_start(State& state, TimePoint now) {
-  if (now < held_until_) {
+  if (now < paused_until_) {
     return false;
   }
   const ServiceConfig* service = engines_.config().find_service(state.request.service);
@@ -106,7 +106,7 @@
   state.started = now;
   ++state.attempts;
   engines_.started(state.engine, WorkClass::kOnline);
-  note_start(now);
+  record_start(now);
   actions_.start_attempt(number, choice.engine->config, service->priority);
   return true;
 }
@@ -241,8 +241,8 @@
 
 Duration OnlineDispatcher::estimated_wait(const OnlineRequest& request,
                                           const ServiceConfig& service, TimePoint now) const {
-  // Other nodes send to the same engines, so what this node got through lately says more than the
-  // number of slots.
+  // Other nodes share the same engines, so the measured start rate predicts the wait better than
+  // the number of slots.
   double rate = measured_start_rate(now);
   if (rate <= 0) {
     int slots = 0;
@@ -255,7 +255,7 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(ahead / rate));
 }
 
-void OnlineDispatcher::note_start(TimePoint now) {
+void OnlineDispatcher::record_start(TimePoint now) {
   if (queue_.size() == 0) {
     busy_since_.reset();
     busy_starts_.clear();
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -9,7 +9,8 @@
   std::vector<bool> outliers(failures.size(), false);
   const double sum = std::accumulate(failures.begin(), failures.end(), 0.0);
   for (std::size_t index = 0; index < failures.size() && failures.size() > 1; ++index) {
-    // Its own failures do not raise the bar that it is measured by.
+    // Compares with the mean of the other replicas: the replica's own failures must not raise its
+    // limit.
     const double others = (sum - failures[index]) / static_cast<double>(failures.size() - 1);
     const double limit = std::max(knobs.outlier_failures, knobs.outlier_factor * others);
     outliers[index] = failures[index] >= limit;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -8,11 +8,11 @@
 namespace dockpoint {
 namespace {
 
-/// Added to the utilization of an engine in another zone.
+/// Penalty added to the utilization of an engine in another zone.
 constexpr double kOtherZoneCost = 0.05;
 
-/// An engine takes online requests until all slots are used, and a few more that wait there, so
-/// that a slot that falls free is used at once.
+/// An engine accepts online requests up to its slots plus a small queue, so that a freed slot is
+/// reused immediately.
 bool open_for_online(const EngineView& engine) {
   const int allowance = std::max(1, engine.config.slots / 4);
   return engine.estimated_online() < engine.config.slots + allowance;
@@ -36,15 +36,15 @@
     return {nullptr, RouteFailure::kAllBusy};
   }
   const EngineView* engine =
-      query.prefix_key == 0 ? nullptr : by_prefix(candidates, query.prefix_key);
+      query.prefix_key == 0 ? nullptr : choose_by_prefix(candidates, query.prefix_key);
   if (engine == nullptr) {
-    engine = by_two_choices(candidates);
+    engine = choose_of_two(candidates);
   }
   return {engine, RouteFailure::kNone};
 }
 
-const EngineView* Router::by_prefix(const std::vector<const EngineView*>& open,
-                                    std::uint64_t prefix_key) const {
+const EngineView* Router::choose_by_prefix(const std::vector<const EngineView*>& open,
+                                           std::uint64_t prefix_key) const {
   const std::string key = std::to_string(prefix_key);
   const auto score = [&](const EngineView* engine) {
     return rendezvous_score(key, engine->config.name);
@@ -62,7 +62,7 @@
   return within_bound ? *best : nullptr;
 }
 
-const EngineView* Router::by_two_choices(const std::vector<const EngineView*>& open) {
+const EngineView* Router::choose_of_two(const std::vector<const EngineView*>& open) {
   std::uniform_int_distribution<std::size_t> pick(0, open.size() - 1);
   const EngineView* first = open[pick(random_)];
   const EngineView* second = open[pick(random_)];
--- a/tests/routing/attempt_policy_test.cpp
+++ b/tests/routing/attempt_policy_test.cpp
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(attempt_policy)
 
-BOOST_AUTO_TEST_CASE(what_did_not_run_is_sent_again_and_then_refused) {
+BOOST_AUTO_TEST_CASE(attempts_that_did_not_run_are_retried_up_to_the_limit) {
   AttemptHistory past = history(false, false, 1);
   for (int send = 1; send < kKnobs.maximum_sends_not_run; ++send) {
     BOOST_TEST(decides(past, AttemptFailure::kNotRun, NextStep::kRetry));
@@ -32,7 +32,7 @@
   BOOST_TEST(decides(past, AttemptFailure::kNotRun, NextStep::kRefuse));
 }
 
-BOOST_AUTO_TEST_CASE(what_may_have_run_is_never_repeated_nor_refused_unless_repeatable) {
+BOOST_AUTO_TEST_CASE(attempts_that_may_have_run_are_retried_only_if_repeatable_and_never_refused) {
   AttemptHistory once = history(false, false, 3);
   BOOST_TEST(decides(once, AttemptFailure::kMayHaveRun, NextStep::kFail));
 
@@ -41,17 +41,17 @@
   for (int send = 1; send < kKnobs.maximum_sends_not_run; ++send) {
     BOOST_TEST(decides(repeatable, AttemptFailure::kNotRun, NextStep::kRetry));
   }
-  // One attempt may have run: the refusal would be a false promise.
+  // One attempt may have run, so a refusal would wrongly promise "not run".
   BOOST_TEST(decides(repeatable, AttemptFailure::kNotRun, NextStep::kFail));
 }
 
-BOOST_AUTO_TEST_CASE(no_more_attempts_run_than_the_route_allows) {
+BOOST_AUTO_TEST_CASE(attempts_that_may_have_run_are_limited_by_the_route) {
   AttemptHistory past = history(true, false, 2);
   BOOST_TEST(decides(past, AttemptFailure::kMayHaveRun, NextStep::kRetry));
   BOOST_TEST(decides(past, AttemptFailure::kMayHaveRun, NextStep::kFail));
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_goes_on_only_if_it_may_be_resumed) {
+BOOST_AUTO_TEST_CASE(a_stream_is_continued_only_if_it_is_resumable) {
   AttemptHistory plain = history(false, false, 2);
   plain.answer_begun = true;
   BOOST_TEST(decides(plain, AttemptFailure::kInterrupted, NextStep::kAbortStream));
--- a/tests/routing/load_digest_test.cpp
+++ b/tests/routing/load_digest_test.cpp
@@ -21,9 +21,9 @@
 
 BOOST_AUTO_TEST_SUITE(load_digest)
 
-// Two builds run side by side while the nodes are replaced one after the other. The bytes are those
-// of version 0.1.0 before evacuations and cells were told.
-BOOST_AUTO_TEST_CASE(a_digest_of_the_build_before_is_read) {
+// Guards against an incompatible encoding: during a rolling upgrade two versions run side by side.
+// The bytes were encoded by version 0.1.0 before evacuations and cells were added to the digest.
+BOOST_AUTO_TEST_CASE(a_digest_of_the_previous_version_is_decoded) {
   const auto digest =
       decode_load_digest(from_hex("c19ace0001117007cd0159c303950b02cd012c010005090493150601"));
   BOOST_TEST_REQUIRE(digest.has_value());
@@ -38,7 +38,7 @@
   BOOST_TEST(!digest->without_load);
 }
 
-BOOST_AUTO_TEST_CASE(a_member_of_the_build_before_is_read_and_capable_of_nothing_new) {
+BOOST_AUTO_TEST_CASE(a_member_of_the_previous_version_is_decoded_without_new_capabilities) {
   const auto member = unpack<Member>(from_hex(
       "98a26e310500ab31302e302e302e313a3730ab31302e302e302e313a3830a67a6f6e652d6105ab31302e"
       "302e302e313a3930"));
@@ -49,7 +49,7 @@
   BOOST_TEST(!member->is_capable_of(Capability::kRecords));
 }
 
-BOOST_AUTO_TEST_CASE(a_digest_travels_whole_and_is_told_from_other_messages) {
+BOOST_AUTO_TEST_CASE(a_digest_round_trips_and_is_distinct_from_other_messages) {
   const LoadDigest digest{node_key("n1"), 7,  99,
                           true,           12, {{1, 2, 3, 1, 7}, {4'000'000'000U, 5, 0, 0, 0}}};
   const std::string bytes = encode(digest);
@@ -71,7 +71,7 @@
   BOOST_TEST(!is_load_digest(encode(message)));
 }
 
-BOOST_AUTO_TEST_CASE(damaged_digests_are_dropped) {
+BOOST_AUTO_TEST_CASE(decoding_corrupted_digests_is_safe) {
   const std::string bytes = encode(LoadDigest{node_key("n1"), 7, 99, true, 0, {{1, 2, 3, 0, 0}}});
   BOOST_TEST(!decode_load_digest("").has_value());
   std::mt19937_64 random(7);
@@ -85,7 +85,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_collection_travels_whole_and_is_told_from_other_messages) {
+BOOST_AUTO_TEST_CASE(a_collection_round_trips_and_is_distinct_from_other_messages) {
   LoadCollection collection{"zone-a", true, {1, 4'000'000'000U}, {3}, {}};
   std::size_t digest_bytes = 0;
   for (int node = 0; node < 50; ++node) {
@@ -108,7 +108,7 @@
   BOOST_TEST((LoadCollection{"zone-a", true, {}, {}, {}}.empty()));
 }
 
-BOOST_AUTO_TEST_CASE(damaged_collections_are_dropped) {
+BOOST_AUTO_TEST_CASE(decoding_corrupted_collections_is_safe) {
   const std::string bytes = encode(LoadCollection{"z", false, {1, 2}, {3}, {"first", "second"}});
   std::mt19937_64 random(11);
   constexpr int kRounds = 20'000;
--- a/tests/routing/online_dispatcher_test.cpp
+++ b/tests/routing/online_dispatcher_test.cpp
@@ -52,7 +52,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(online_dispatcher, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_request_goes_to_an_engine_at_once) {
+BOOST_AUTO_TEST_CASE(a_request_starts_at_once_if_an_engine_has_capacity) {
   dispatcher.submit(request(1), at(0));
   BOOST_TEST_REQUIRE(actions.attempts.size() == 1U);
   dispatcher.attempt_ended(1, AttemptEnd::kCompleted, at(100));
@@ -60,14 +60,14 @@
   BOOST_TEST(dispatcher.counts().completed == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(an_attempt_that_did_not_run_is_repeated_elsewhere) {
+BOOST_AUTO_TEST_CASE(an_attempt_that_did_not_run_is_retried_on_another_engine) {
   dispatcher.submit(request(1, false), at(0));
   dispatcher.attempt_ended(1, AttemptEnd::kNotSent, at(1));
   BOOST_TEST_REQUIRE(actions.attempts.size() == 2U);
   BOOST_TEST(actions.attempts[0].engine != actions.attempts[1].engine);
 }
 
-BOOST_AUTO_TEST_CASE(an_unknown_end_is_repeated_only_if_the_request_is_repeatable) {
+BOOST_AUTO_TEST_CASE(an_unknown_outcome_is_retried_only_if_the_request_is_repeatable) {
   dispatcher.submit(request(1, true), at(0));
   dispatcher.attempt_ended(1, AttemptEnd::kUnknown, at(1));
   BOOST_TEST(actions.attempts.size() == 2U);
@@ -79,8 +79,8 @@
   BOOST_TEST((actions.refusals[0].second.run == RunState::kUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(not_run_is_said_only_if_no_attempt_may_have_run) {
-  // The first attempt may have run; that the second certainly did not changes nothing.
+BOOST_AUTO_TEST_CASE(not_run_is_reported_only_if_no_attempt_may_have_run) {
+  // The first attempt may have run, whatever the outcome of the second.
   dispatcher.submit(request(1, true), at(0));
   dispatcher.attempt_ended(1, AttemptEnd::kUnknown, at(1));
   dispatcher.attempt_ended(1, AttemptEnd::kNotSent, at(2));
@@ -88,7 +88,7 @@
   BOOST_TEST((actions.refusals[0].second.run == RunState::kUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(an_interrupted_answer_is_never_repeated) {
+BOOST_AUTO_TEST_CASE(an_interrupted_answer_is_never_retried) {
   dispatcher.submit(request(1, true), at(0));
   dispatcher.attempt_ended(1, AttemptEnd::kInterrupted, at(1));
   BOOST_TEST(actions.attempts.size() == 1U);
@@ -96,7 +96,7 @@
   BOOST_TEST((actions.refusals[0].second.code == ResultCode::kStreamInterrupted));
 }
 
-BOOST_AUTO_TEST_CASE(retries_end_with_the_budget) {
+BOOST_AUTO_TEST_CASE(retries_stop_when_the_budget_is_spent) {
   knobs.ejection_failures = 1'000'000;
   for (RequestNumber number = 1; number <= 50; ++number) {
     dispatcher.submit(request(number), at(0));
@@ -109,7 +109,7 @@
   BOOST_TEST(actions.refusals.back().second.retry_after.count() >= 1);
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_served_in_time_is_refused_at_once) {
+BOOST_AUTO_TEST_CASE(a_request_whose_estimated_wait_exceeds_its_deadline_is_refused_at_once) {
   RequestNumber number = 1;
   while (actions.attempts.size() == number - 1) {
     dispatcher.submit(request(number++), at(0));
@@ -123,7 +123,7 @@
   BOOST_TEST(actions.refusals[0].second.retry_after.count() >= 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_waiting_request_starts_when_an_engine_falls_free) {
+BOOST_AUTO_TEST_CASE(a_waiting_request_starts_when_an_engine_has_capacity_again) {
   RequestNumber number = 1;
   while (actions.attempts.size() == number - 1) {
     dispatcher.submit(request(number++), at(0));
@@ -135,7 +135,7 @@
   BOOST_TEST(dispatcher.waiting() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_waiting_request_is_answered_when_its_deadline_passes) {
+BOOST_AUTO_TEST_CASE(a_waiting_request_is_refused_when_its_deadline_passes) {
   RequestNumber number = 1;
   while (actions.attempts.size() == number - 1) {
     dispatcher.submit(request(number++), at(0));
@@ -145,7 +145,7 @@
   BOOST_TEST((actions.refusals[0].second.code == ResultCode::kDeadlineExceeded));
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_engine_gets_nothing_new_and_no_report_undoes_it) {
+BOOST_AUTO_TEST_CASE(a_leaving_engine_gets_no_new_work_until_it_restarts) {
   EngineLoad load;
   load.incarnation = 5;
   load.sequence = 1;
@@ -160,12 +160,12 @@
   for (const Recorder::Attempt& attempt : actions.attempts) {
     BOOST_TEST(attempt.engine == "engine-2");
   }
-  load.incarnation = 6;  // It came back as a new process.
+  load.incarnation = 6;  // The engine restarted as a new process.
   engines.report("engine-1", load, at(2));
   BOOST_TEST(!engines.find("engine-1")->leaving());
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_that_keeps_failing_is_ejected_for_a_while) {
+BOOST_AUTO_TEST_CASE(consecutive_failures_eject_an_engine_for_the_ejection_time) {
   for (int failure = 0; failure < knobs.ejection_failures; ++failure) {
     engines.started("engine-1", WorkClass::kOnline);
     engines.ended("engine-1", WorkClass::kOnline, EngineHealthSignal::kFailed, at(0));
@@ -174,7 +174,7 @@
   BOOST_TEST(engines.usable(*engines.find("engine-1"), at(0) + knobs.ejection_time));
 }
 
-BOOST_AUTO_TEST_CASE(requests_with_one_prefix_meet_on_one_engine_until_it_is_loaded) {
+BOOST_AUTO_TEST_CASE(requests_with_the_same_prefix_share_an_engine_up_to_the_load_bound) {
   std::map<std::string, int> counts;
   for (RequestNumber number = 1; number <= 3; ++number) {
     OnlineRequest made = request(number);
--- a/tests/routing/removal_grace_test.cpp
+++ b/tests/routing/removal_grace_test.cpp
@@ -20,12 +20,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(removal_grace, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_removal_counts_at_once_while_the_log_is_there) {
+BOOST_AUTO_TEST_CASE(a_removal_takes_effect_at_once_while_the_log_is_reachable) {
   BOOST_TEST(!grace.defer("r1", at(1'000)));
   BOOST_TEST(!grace.is_deferred("r1"));
 }
 
-BOOST_AUTO_TEST_CASE(what_lapsed_while_the_log_was_away_has_time_to_come_back) {
+BOOST_AUTO_TEST_CASE(records_that_expired_in_an_outage_have_the_grace_period_to_reappear) {
   grace.log_lost();
   grace.log_regained(at(10'000));
   BOOST_TEST(grace.defer("r1", at(10'000)));
@@ -38,7 +38,7 @@
   BOOST_TEST(!grace.defer("r1", at(12'000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_removal_late_in_the_grace_time_is_not_held_beyond_it) {
+BOOST_AUTO_TEST_CASE(a_removal_late_in_the_grace_period_is_not_deferred_beyond_it) {
   grace.log_lost();
   grace.log_regained(at(10'000));
   BOOST_TEST(grace.defer("r1", at(11'900)));
@@ -46,10 +46,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(
-    a_removal_that_a_peer_tells_while_the_log_is_away_counts_after_the_grace_time) {
+    a_removal_learnt_from_a_peer_in_an_outage_takes_effect_after_the_grace_period) {
   grace.log_lost();
   BOOST_TEST(grace.defer("r1", at(10'000)));
-  BOOST_TEST(grace.defer("r1", at(11'000)));  // Told again: the first time counts.
+  BOOST_TEST(grace.defer("r1", at(11'000)));  // Reported again: the first report sets the time.
   BOOST_TEST(grace.take_expired(at(11'999)).empty());
   BOOST_TEST(grace.take_expired(at(12'000)).size() == 1U);
 }
--- a/tests/routing/zone_evacuations_test.cpp
+++ b/tests/routing/zone_evacuations_test.cpp
@@ -6,18 +6,18 @@
 
 BOOST_AUTO_TEST_SUITE(zone_evacuations)
 
-BOOST_AUTO_TEST_CASE(a_change_counts_until_it_is_taken_back) {
+BOOST_AUTO_TEST_CASE(an_evacuation_is_in_force_until_it_is_revoked) {
   ZoneEvacuations evacuations;
   BOOST_TEST(evacuations.change("a", true, 4));
-  BOOST_TEST(!evacuations.change("a", true, 5));  // Asked for once more.
+  BOOST_TEST(!evacuations.change("a", true, 5));  // A repeated request.
   BOOST_TEST(evacuations.contains("a"));
   BOOST_TEST(evacuations.change("a", false, 6));
   BOOST_TEST(!evacuations.contains("a"));
   BOOST_TEST(evacuations.position() == 7U);
 }
 
-// A page or a peer that stands before what is known would bring an evacuation back to life.
-BOOST_AUTO_TEST_CASE(what_is_older_changes_nothing) {
+// Guards against stale pages or answers of peers that would reinstate a revoked evacuation.
+BOOST_AUTO_TEST_CASE(older_changes_and_states_are_ignored) {
   ZoneEvacuations evacuations;
   evacuations.change("a", true, 4);
   evacuations.change("a", false, 6);
@@ -26,7 +26,7 @@
   BOOST_TEST(evacuations.zones().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_whole_state_replaces_all_zones) {
+BOOST_AUTO_TEST_CASE(a_complete_state_replaces_all_zones) {
   ZoneEvacuations evacuations;
   evacuations.change("a", true, 4);
   BOOST_TEST(evacuations.replace({"b"}, 9));
