--- a/include/dockpoint/log/freshness_budget.hpp
+++ b/include/dockpoint/log/freshness_budget.hpp
@@ -5,70 +5,71 @@
 
 #include "dockpoint/core/time.hpp"
 
-/// How the bound on the age of what a node believes is shared out among its waits.
+/// Derives wait times, timeouts and backoff from the bound on staleness.
 ///
-/// A record that the log has confirmed (a configuration, a replica that drains) must be acted upon
-/// by every node within a bound. A node learns of it by a read that waits for records. Such a read
-/// can be lost without a sign: the log falls silent, or the connection does, and nothing ever comes
-/// on it, also when the log answers others again. The node notices by the read's time limit alone,
-/// so the wait, the time limit, the pause after a failure and the answer of the next read have to
-/// fit into the bound together. All of them are derived from it here:
+/// Every node must act on a record that the log has confirmed (a configuration, a draining replica)
+/// within a bound. A node learns of it by a long-poll read. Such a read can be lost silently: the
+/// log or the connection stops answering, and no answer arrives on that connection even after the
+/// log answers other calls again. The node detects this only by the read's timeout, so the wait,
+/// the timeout, the backoff after the failure and the answer to the next read must fit into the
+/// bound together:
 ///
 ///     following: wait + read limit + first pause + answer + reserve <= bound
 ///     asking:    read limit        + longest pause + answer + reserve <= bound
 ///
-/// A node that follows waits for records, which costs the log one call per wait at rest. After a
-/// failure it asks: its reads do not wait, and a call whose answer would come too late is given up.
+/// A node that follows uses long polls, which cost the log one call per wait when idle. After a
+/// failure it asks: its reads do not wait, and a call whose answer would come too late is
+/// abandoned.
 ///
-/// Where many nodes follow the same partition and tell each other how far they have read, the one
-/// whose read ends first tells the rest. Each then waits longer, at random, so that the fleet's
-/// calls do not grow with its size while some read still ends as soon as a lone node's would.
+/// Where many nodes follow the same partition and gossip their positions, the node whose read ends
+/// first informs the others. Each node then waits longer, with jitter, so that the number of calls
+/// does not grow with the fleet while some read still ends as early as a lone node's would.
 namespace dockpoint {
 
 /// See the top of this file. Free of I/O and clocks.
 class FreshnessBudget {
  public:
-  /// Shorter bounds cannot be kept: the wait would be as short as the event loop's timers are late.
+  /// Shorter bounds cannot be met: the wait would be as short as the delay of the event loop's
+  /// timers.
   static constexpr Duration kShortestBound = std::chrono::milliseconds(500);
 
-  /// @param bound from a record's confirmation until every node acts on it.
+  /// @param bound longest time from a record's confirmation until every node acts on it.
   explicit FreshnessBudget(Duration bound) : bound_(bound) {}
 
   Duration bound() const { return bound_; }
-  /// For timers that fire late and a slow processor: two rounds of 50 ms and as much work at the
-  /// usual bound of 2 s.
+  /// Margin for late timers and a slow processor: two ticks of 50 ms and as much processing time at
+  /// the usual bound of 2 s.
   Duration reserve() const { return bound_ / 10; }
-  /// For an answer of a log that answers: 4 ms and a new connection, with room, at 2 s.
+  /// Time for the answer of a responsive log: 4 ms and a new connection, with a margin, at 2 s.
   Duration answer() const { return bound_ / 20; }
 
-  /// @return how long a lone node's read waits for records.
+  /// @return how long the read of a node without peers waits for records.
   Duration lone_wait() const;
-  /// @return the longest wait of a node with so many `peers` that follow the same partition.
+  /// @return the longest wait of a node with `peers` others that follow the same partition.
   Duration longest_wait(std::size_t peers) const;
-  /// @return how long the next read waits for records: between the two above, at random, since
-  /// nodes that are all in step learn nothing from each other.
+  /// @return how long the next read waits for records: random between about `lone_wait` and
+  /// `longest_wait`, since nodes whose reads end at the same time learn nothing from each other.
   Duration draw_wait(std::size_t peers, std::mt19937_64& random) const;
 
-  /// @return time limit of a read's answer, beyond its wait, after so many failures in a row. It
-  /// grows with them, so that a log that is slow by a hundred times (0.4 s an answer) is heard.
+  /// @return timeout of a read beyond its wait, after `failures` consecutive failures. It grows
+  /// with them, so that a log that is a hundred times slower (0.4 s an answer) still gets through.
   Duration read_limit(int failures) const;
-  /// @return longest pause after so many failures in a row (one or more).
+  /// @return longest backoff after `failures` consecutive failures (one or more).
   Duration longest_pause(int failures) const;
-  /// @return the pause to make: between half of the longest and the longest.
+  /// @return the backoff with jitter: between half of the longest and the longest.
   Duration draw_pause(int failures, std::mt19937_64& random) const;
 
-  /// @return time without news after which a node that others say to be ahead asks one of them.
+  /// @return time without progress after which a node asks a peer that reports a higher position.
   Duration peer_lag() const { return bound_ / 8; }
-  /// @return time limit of a question to a peer; its answer may be a megabyte (0.27 s at 30
-  /// Mbit/s).
+  /// @return timeout of a request to a peer; its answer may be a megabyte (0.27 s at 30 Mbit/s).
   Duration question_limit() const { return bound_ * 7 / 20; }
-  /// @return time between two questions of a node that does not follow the log.
+  /// @return interval between requests to peers while the node does not follow the log.
   Duration question_interval() const { return bound_ / 5; }
 
-  /// @return greatest age of what a node believes that follows the log by itself and loses a read
-  /// just after a record was confirmed, if the log answers from then on.
+  /// @return the greatest staleness of a node that follows the log without help of peers and loses
+  /// a read just after a record was confirmed, if the log answers from then on.
   Duration greatest_age_following(std::size_t peers) const;
-  /// @return the same of a node that asks, from the moment on at which the log answers again.
+  /// @return the same for a node that asks, counted from the time at which the log answers again.
   Duration greatest_age_asking() const;
 
  private:
--- a/include/dockpoint/log/hedged_log.hpp
+++ b/include/dockpoint/log/hedged_log.hpp
@@ -9,40 +9,40 @@
 #include "dockpoint/core/knobs.hpp"
 #include "dockpoint/log/partitioned_log.hpp"
 
-/// A log whose writes are sent again while their answer is still awaited.
+/// A log client that hedges writes.
 ///
-/// The log may do a call and lose its answer, and no answer comes on that connection any more. A
-/// caller that waits for the time limit of the call loses more than a second, which is longer than
-/// clients wait for a job to be accepted and than an owner's lease lets it answer. So a write that
-/// has no answer after a short time is sent once more beside the first; the first answer that
-/// settles its fate counts, later ones are dropped. The time grows with that of recent answers, so
-/// that a log that is slow is not asked ever more.
+/// The log may apply a call and lose the answer, and the connection then stays silent. Waiting for
+/// the call's timeout costs more than a second, which is longer than clients wait for a job to be
+/// accepted and than an owner's lease lets it answer. Therefore a write without an answer after a
+/// short delay is sent again in parallel; the first conclusive answer counts, and later ones are
+/// dropped. The delay grows with the latency of recent writes, so that a slow log does not get ever
+/// more calls.
 ///
-/// Only calls that may be done twice are hedged: appends that carry a producer's position are
-/// deduplicated by the log, all others of dockpoint write one value under one key, and joining a
-/// group again changes nothing. Of the calls of a conditional append one at most is done; the
-/// answer may then be that of another, `kEndMoved`: the writer reads the partition again and finds
-/// its own records. Reads pass through.
+/// Only calls that are safe to repeat are hedged: the log deduplicates appends with a producer
+/// position, all other appends of dockpoint write one value under one key, and joining a group
+/// again changes nothing. Of the calls of a conditional append at most one is applied. The first
+/// answer may then be that of another call, `kEndMoved`: the writer reads the partition again and
+/// finds its own records. Reads pass through.
 namespace dockpoint {
 
-/// One write and the calls that are under way for it. Knows nothing of its kind.
+/// One write and its pending calls, independent of the type of the outcome.
 class HedgedWrite {
  public:
   virtual ~HedgedWrite() = default;
-  /// Sends the write once more if it is due. @return whether it is over.
+  /// Sends the write again if the hedge delay is over. @return whether the write has finished.
   virtual bool tick() = 0;
-  /// Sends it no more; an answer still counts.
+  /// Sends no further calls; an answer still counts.
   virtual void stop() = 0;
 };
 
-/// See the top of this file. Single-threaded; borrows the log. Calls that are under way when it is
-/// destroyed are not answered.
+/// See the top of this file. Single-threaded; borrows the log. Callbacks of calls that are pending
+/// at destruction are never invoked.
 class HedgedLog : public PartitionedLog {
  public:
   HedgedLog(const Knobs& knobs, PartitionedLog& log) : knobs_(knobs), log_(log) {}
   ~HedgedLog() override;
 
-  /// Sends again what is due; call several times a second.
+  /// Sends hedged calls that are due; call several times a second.
   void tick(TimePoint now);
 
   const LogLimits& limits() const override { return log_.limits(); }
@@ -66,11 +66,11 @@
  private:
   template <class Outcome>
   class Write;
-  /// What writes share with their log; they may outlive it.
+  /// State shared by the log and its writes; writes may outlive the log.
   struct Shared {
     bool alive = true;
     TimePoint now{};
-    Duration mean_time{};  ///< Until recent writes were settled.
+    Duration mean_time{};  ///< Moving average of the time until a write is settled.
   };
   template <class Outcome>
   void start(std::function<void(std::function<void(Outcome)>)> send,
--- a/include/dockpoint/log/keyed_watch.hpp
+++ b/include/dockpoint/log/keyed_watch.hpp
@@ -9,52 +9,54 @@
 #include "dockpoint/log/freshness_budget.hpp"
 #include "dockpoint/log/partitioned_log.hpp"
 
-/// Following one partition of a compacted topic.
+/// Watches one partition of a compacted topic.
 namespace dockpoint {
 
-/// Receives what a watch learns.
+/// Receives a watch's records and changes of its state.
 class KeyedWatchObserver {
  public:
   virtual ~KeyedWatchObserver() = default;
-  /// All keys as they stand; replaces everything told before.
+  /// The newest records of all keys; replaces all earlier records.
   virtual void on_snapshot(const std::vector<KeyedRecord>& records) = 0;
-  /// One record, newer than any told of its key before.
+  /// One record, newer than any earlier record of its key.
   virtual void on_record(const KeyedRecord& record) = 0;
   /// The watch reached the end of the partition.
   virtual void on_caught_up() = 0;
-  /// Calls fail (`reachable` false) or succeed again.
-  /// @param silence time between the last answer before and now.
+  /// The log became unreachable (`reachable` false) or reachable again.
+  /// @param silence time since the last successful answer before this change.
   virtual void on_reachable(bool reachable, Duration silence) = 0;
 };
 
-/// How a watch stands to its partition.
+/// State of a watch.
 enum class WatchState {
-  kLoading,    ///< Nothing was told yet, or history is gone and is loaded anew.
+  kLoading,    ///< No snapshot has been loaded yet, or the position was compacted and a reload is
+               ///< under way.
   kFollowing,  ///< The last call succeeded, and none is overdue.
-  kOverdue,    ///< The call under way should have been answered by now: the log may be silent.
+  kOverdue,    ///< The pending call is overdue: the log may be silent.
   kLost,       ///< The last call failed.
 };
 
-/// @return the state as logs name it.
+/// @return the state's name for log lines.
 const char* name_of(WatchState state);
 
-/// How old what a node knows from a topic may be, by the log's own word. Peers may have told more.
+/// Staleness of a node's view of a topic as confirmed by the log. Data from peers may be newer.
 struct WatchAge {
   WatchState state = WatchState::kLoading;
-  Duration age{};  ///< Since the log last confirmed it; since the process's start if it never did.
+  Duration age{};  ///< Time since the log last confirmed the view; since the process's start if it
+                   ///< never did.
 };
 
-/// When a watch reads on.
+/// When a watch reads.
 enum class WatchMode {
-  kFollow,    ///< Always, by reads that wait for records.
+  kFollow,    ///< Continuously, by long polls.
   kOnDemand,  ///< After `refresh`, up to the end of the partition.
 };
 
-/// Loads the newest records page by page, then follows the log. When history is gone it loads anew.
-/// Waits, time limits and pauses are those of `FreshnessBudget`: a read that is lost without a sign
-/// must not keep the watch from news for longer than the bound. After a read that brought the
-/// records up to the end the next one waits a little (`Knobs::watch_pause`): hundreds of replicas
-/// that register one after the other would cost every node a call each.
+/// Loads the newest records page by page, then follows the log. Reloads them if its position was
+/// compacted. Waits, timeouts and backoff are those of `FreshnessBudget`: a silently lost read must
+/// not delay updates beyond the bound. After a read that reached the end of the partition with new
+/// records, the next one starts after `Knobs::watch_pause`: otherwise hundreds of replicas that
+/// register one after the other would cost every node a call each.
 ///
 /// Not thread-safe; borrows log and observer. May be destroyed at any time.
 class KeyedWatch {
@@ -63,62 +65,63 @@
              KeyedWatchObserver& observer, WatchMode mode = WatchMode::kFollow);
   ~KeyedWatch();
 
-  /// Starts what is due; call several times a second.
+  /// Starts calls that are due; call several times a second.
   void tick(TimePoint now);
 
-  /// @param count other nodes that follow the partition and tell this one when they are ahead.
+  /// @param count number of other nodes that follow the partition and announce their positions.
   void set_peers(std::size_t count) { peers_ = count; }
 
-  /// Reads what was appended until now, if the watch reads on demand; `on_current` is told when it
-  /// has. A read that is under way does not count: it may have begun before.
+  /// In on-demand mode, reads what has been appended so far, then calls `on_caught_up`. A read that
+  /// is already under way does not satisfy the request, since it may have begun before the append.
   void refresh();
 
-  /// Loads the newest records once more, when the call under way has ended: what the log gives has
-  /// become other than before. Nothing happens if the first load has not begun.
+  /// Reloads the newest records after the pending call has ended, because the log's content as seen
+  /// by this node has changed. Does nothing if the first load has not begun.
   void reload();
-  /// The machine was suspended: what was told is doubted until the log confirms it, and the call
-  /// under way is given up, since its connection may be dead and its time limit did not run.
+  /// Marks the state as unconfirmed until the log confirms it, after a suspension of the machine.
+  /// Abandons the pending call: its connection may be dead, and its timeout did not run meanwhile.
   void mark_unconfirmed();
-  /// Changes the bound that waits and time limits are derived from.
+  /// Changes the bound that waits and timeouts are derived from.
   void set_bound(Duration bound) { budget_ = FreshnessBudget(bound); }
 
   WatchState state(TimePoint now) const;
-  /// @return when the log last confirmed that everything up to the end of the partition was told;
-  /// the start of time: never.
+  /// @return when the log last confirmed that all records up to the end of the partition were
+  /// delivered; the epoch of the clock: never.
   TimePoint confirmed_at() const { return state_->confirmed_at; }
-  /// @return the offset up to which everything was told.
+  /// @return the offset up to which all records were delivered.
   LogOffset position() const { return state_->next; }
 
  private:
-  /// Survives the watch while a call is under way.
+  /// Outlives the watch while a call is pending.
   struct State {
     bool alive = true;
-    bool calling = false;
+    bool call_pending = false;
     bool loaded = false;
     bool reachable = true;
-    bool reload = false;       ///< Asked for, or under way: what was loaded before still counts.
-    bool wanted = false;       ///< A refresh was asked for after the read under way began.
-    bool doubted = false;      ///< No call that began after `doubt` has succeeded yet.
-    std::uint64_t call = 0;    ///< Number of the call under way, or of the last one.
-    TimePoint next_call_at{};  ///< After a failure, or after records that may not come alone.
+    bool reload = false;  ///< Requested or under way; the records loaded before remain valid.
+    bool refresh_requested = false;  ///< Requested after the current read began.
+    bool unconfirmed = false;        ///< No call begun after `mark_unconfirmed` has succeeded yet.
+    std::uint64_t call = 0;          ///< Number of the pending call, or of the last one.
+    TimePoint
+        next_call_at{};  ///< Delayed after a failure, or after records that others may follow.
     int failures = 0;
-    TimePoint overdue_at{};    ///< Of the call under way.
-    TimePoint answered_at{};   ///< The last call that succeeded.
-    TimePoint confirmed_at{};  ///< The end of the partition was reached.
+    TimePoint overdue_at{};    ///< Of the pending call.
+    TimePoint answered_at{};   ///< Time of the last successful call.
+    TimePoint confirmed_at{};  ///< When the end of the partition was last reached.
     LogOffset next = 0;
     LogOffset load_end = 0;
-    Duration load_age{};  ///< Of the first page.
+    Duration load_age{};  ///< Age of the first page.
     std::string page_key;
     bool first_page = true;
     std::vector<KeyedRecord> pages;
-    std::map<std::string, LogOffset> offsets;  ///< Of the newest record told, a key each.
+    std::map<std::string, LogOffset> offsets;  ///< Offset of the newest delivered record by key.
   };
 
   void proceed();
   void load_page();
-  void take_page(NewestOutcome outcome);
+  void on_page(NewestOutcome outcome);
   void follow();
-  void take_records(ReadOutcome outcome);
+  void on_records(ReadOutcome outcome);
   void fail();
   void succeed();
 
--- a/include/dockpoint/log/partitioned_log.hpp
+++ b/include/dockpoint/log/partitioned_log.hpp
@@ -9,13 +9,13 @@
 
 #include "dockpoint/core/time.hpp"
 
-/// A log of topics with partitions, as dockpoint uses it.
+/// Interface to a partitioned log.
 ///
-/// Topics are compacted: a record has a key, history may be forgotten at any time, and the newest
-/// record of each key is kept for ever; a record without a value removes its key. A producer
-/// numbers its appends within an epoch: an append that is repeated after a lost answer counts
-/// once, and a higher epoch fences every lower one. Consumer groups deal partitions out to their
-/// members; each change of the dealing raises the group's generation.
+/// Topics are compacted: each record has a key, history may be discarded at any time, and the
+/// newest record of each key is retained; a record without a value (a tombstone) removes its key. A
+/// producer numbers its appends within an epoch: the log deduplicates an append that is repeated
+/// after a lost answer, and a higher epoch fences all lower ones. Consumer groups assign partitions
+/// to their members; each reassignment increments the group's generation.
 namespace dockpoint {
 
 using LogOffset = std::uint64_t;
@@ -23,23 +23,23 @@
 /// One record of a compacted topic.
 struct KeyedRecord {
   std::string key;
-  std::string value;     ///< Empty: the key is removed.
-  LogOffset offset = 0;  ///< Set when read.
+  std::string value;     ///< Empty: tombstone, removes the key.
+  LogOffset offset = 0;  ///< Set by reads.
 };
 
-/// How a call ended.
+/// Status of a call.
 enum class LogStatus {
   kOk,
-  kRefused,        ///< Nothing was done.
-  kUnknown,        ///< No answer: it may have been done, or may be done later.
-  kFenced,         ///< A higher epoch has been seen. Nothing was done.
-  kOutOfSequence,  ///< Another sequence number is due. Nothing was done.
-  kEndMoved,       ///< The partition does not end where the writer expected. Nothing was done.
-  kCompacted,      ///< The records asked for are gone.
+  kRefused,        ///< Rejected. Nothing was applied.
+  kUnknown,        ///< No answer: the call may have been applied, or may still be.
+  kFenced,         ///< A higher epoch exists. Nothing was applied.
+  kOutOfSequence,  ///< Another sequence number is expected. Nothing was applied.
+  kEndMoved,       ///< The partition does not end at the expected offset. Nothing was applied.
+  kCompacted,      ///< The requested offset was compacted.
   kNotMember,      ///< The group's generation does not match.
 };
 
-/// Numbers the appends of one writer to one partition.
+/// Position of an append in the sequence of one writer to one partition.
 struct ProducerPosition {
   std::string producer;
   std::uint64_t epoch = 0;
@@ -56,21 +56,23 @@
 struct ReadOutcome {
   LogStatus status = LogStatus::kUnknown;
   std::vector<KeyedRecord> records;
-  LogOffset end = 0;   ///< End of the partition when it was read.
-  LogOffset next = 0;  ///< Where to read on if that is not behind the last record; 0: it is.
-  Duration age{};      ///< Of the answer: a node may pass on what it has read before.
+  LogOffset end = 0;  ///< End of the partition when it was read.
+  LogOffset next =
+      0;  ///< Offset of the next read if not directly after the last record; 0: directly after it.
+  Duration age{};  ///< Age of the data: the answer may come from a node that relays what it read
+                   ///< earlier.
 };
 
-/// Time that a read may take.
+/// Time allowed for a read.
 struct ReadTimes {
-  Duration wait{};   ///< For a record, where there is none yet.
-  Duration limit{};  ///< For the answer, beyond the wait; then the read is given up as `kUnknown`.
+  Duration wait{};   ///< Longest wait for a record if there is none yet.
+  Duration limit{};  ///< Timeout of the answer beyond the wait; the read then ends as `kUnknown`.
 };
 
 struct NewestOutcome {
   LogStatus status = LogStatus::kUnknown;
-  std::vector<KeyedRecord> records;  ///< In order of key.
-  bool more = false;                 ///< Ask again from the last key.
+  std::vector<KeyedRecord> records;  ///< Ordered by key.
+  bool more = false;                 ///< More pages follow after the last key.
   LogOffset end = 0;
   Duration age{};  ///< As in `ReadOutcome`.
 };
@@ -99,42 +101,43 @@
   std::vector<Row> rows;
 };
 
-/// Limits of the service that holds the log.
+/// Limits of the log service.
 struct LogLimits {
-  int partitions = 1;                        ///< Of each topic.
-  std::size_t record_bytes = 256 * 1024;     ///< Key and value.
-  std::size_t call_bytes = 2 * 1024 * 1024;  ///< All records of one append.
+  int partitions = 1;                        ///< Per topic.
+  std::size_t record_bytes = 256 * 1024;     ///< Largest key and value together.
+  std::size_t call_bytes = 2 * 1024 * 1024;  ///< Largest total of the records of one append.
   Duration minimum_lease = std::chrono::seconds(1);
 };
 
-/// The log. Calls return at once; each callback comes once, later, on the thread of the caller's
-/// event loop, within a time limit: of the caller for reads, of the implementation for all others.
+/// Client of the log. Calls return at once; each callback is invoked exactly once, later, on the
+/// thread of the caller's event loop, within a timeout: the caller's for reads, the
+/// implementation's for all other calls.
 class PartitionedLog {
  public:
   virtual ~PartitionedLog() = default;
 
   virtual const LogLimits& limits() const = 0;
 
-  /// Appends all records or none. Without records, only the epoch of `position` is raised.
+  /// Appends all records or none. Without records, it only raises the epoch of `position`.
   virtual void append(const TopicPartition& partition, const std::vector<KeyedRecord>& records,
                       const std::optional<ProducerPosition>& position,
                       std::function<void(AppendOutcome)> done) = 0;
-  /// Appends all records if the partition ends at `expected_end` (compare and set); otherwise none,
-  /// and the status is `kEndMoved`. Writers that decide by what the partition holds are serialized
-  /// by it.
+  /// Conditional append (compare-and-set): appends all records if the partition ends at
+  /// `expected_end`; otherwise none, with status `kEndMoved`. It serializes writers whose decisions
+  /// depend on the partition's content.
   virtual void append_at(const TopicPartition& partition, LogOffset expected_end,
                          const std::vector<KeyedRecord>& records,
                          std::function<void(AppendOutcome)> done) = 0;
-  /// Reads from an offset on.
+  /// Reads records from an offset.
   virtual void read(const TopicPartition& partition, LogOffset from, const ReadTimes& times,
                     std::function<void(ReadOutcome)> done) = 0;
-  /// Reads the newest record of each key behind `after_key`, a page at a time. The pages do not
-  /// form a snapshot.
+  /// Reads the newest record of each key after `after_key`, one page at a time. The pages together
+  /// are not a consistent snapshot.
   virtual void newest(const TopicPartition& partition, const std::string& after_key,
                       std::function<void(NewestOutcome)> done) = 0;
-  /// Enters a group or renews the membership for `lease`.
-  /// @param generation last one heard; partitions that are no longer dealt to the member are
-  /// released by naming the generation that took them away.
+  /// Joins a group or renews the membership for `lease`.
+  /// @param generation last generation that the member knows; naming the generation that revoked
+  /// partitions from the member releases them.
   virtual void join(const std::string& group, const std::string& member,
                     const std::vector<std::string>& topics, Duration lease,
                     std::uint64_t generation, std::function<void(JoinOutcome)> done) = 0;
--- a/src/log/freshness_budget.cpp
+++ b/src/log/freshness_budget.cpp
@@ -5,14 +5,14 @@
 namespace dockpoint {
 namespace {
 
-/// Mean wait of a node in a large fleet: 295 nodes make 236 reads a second of two topics at rest.
+/// Mean wait of a node in a large fleet: 295 nodes make 236 reads a second of two topics when idle.
 constexpr Duration kLongestMeanWait = std::chrono::milliseconds(2500);
-/// The read that ends first in a fleet ends, on average, this much after a lone node's.
-constexpr Duration kFirstOfFleet = std::chrono::milliseconds(50);
-/// Waits of a lone node spread over so much of the longest, in tenths.
-constexpr int kLoneSpreadTenths = 2;
-/// Failures after which limits and pauses grow no more: both have reached their longest by then.
-constexpr int kMostDoublings = 4;
+/// In a fleet the first read ends on average this much later than a lone node's.
+constexpr Duration kFirstReadDelay = std::chrono::milliseconds(50);
+/// Jitter of a lone node's wait, in tenths of the longest wait.
+constexpr int kLoneJitterTenths = 2;
+/// Failures after which timeouts and backoff stop growing: both have reached their maximum by then.
+constexpr int kMaxDoublings = 4;
 
 Duration draw_between(Duration shortest, Duration longest, std::mt19937_64& random) {
   std::uniform_int_distribution<std::int64_t> spread(shortest.count(), longest.count());
@@ -20,7 +20,7 @@
 }
 
 Duration doubled(Duration first, int times, Duration longest) {
-  return std::min(first * (1 << std::clamp(times, 0, kMostDoublings)), longest);
+  return std::min(first * (1 << std::clamp(times, 0, kMaxDoublings)), longest);
 }
 
 }  // namespace
@@ -32,12 +32,12 @@
 Duration FreshnessBudget::longest_wait(std::size_t peers) const {
   const Duration mean_limit = std::max(kLongestMeanWait, lone_wait());
   const Duration longest = 2 * mean_limit - lone_wait();
-  return std::min(lone_wait() + kFirstOfFleet * static_cast<std::int64_t>(peers), longest);
+  return std::min(lone_wait() + kFirstReadDelay * static_cast<std::int64_t>(peers), longest);
 }
 
 Duration FreshnessBudget::draw_wait(std::size_t peers, std::mt19937_64& random) const {
   const Duration longest = longest_wait(peers);
-  const Duration shortest = std::min(lone_wait(), longest - longest * kLoneSpreadTenths / 10);
+  const Duration shortest = std::min(lone_wait(), longest - longest * kLoneJitterTenths / 10);
   return draw_between(shortest, longest, random);
 }
 
@@ -61,7 +61,7 @@
 }
 
 Duration FreshnessBudget::greatest_age_asking() const {
-  return read_limit(kMostDoublings) + longest_pause(kMostDoublings + 1) + answer() + reserve();
+  return read_limit(kMaxDoublings) + longest_pause(kMaxDoublings + 1) + answer() + reserve();
 }
 
 }  // namespace dockpoint
--- a/src/log/hedged_log.cpp
+++ b/src/log/hedged_log.cpp
@@ -6,14 +6,14 @@
 namespace dockpoint {
 namespace {
 
-/// @return whether the fate of a write is certain, whatever its other calls come to.
+/// @return whether the status is conclusive, whatever the outcome of the write's other calls.
 bool settles(LogStatus status) {
   return status != LogStatus::kRefused && status != LogStatus::kUnknown;
 }
 
 }  // namespace
 
-/// One write whose answers are of one kind.
+/// A write with one type of outcome.
 template <class Outcome>
 class HedgedLog::Write : public HedgedWrite,
                          public std::enable_shared_from_this<HedgedLog::Write<Outcome>> {
@@ -32,36 +32,38 @@
     const Duration delay = std::max(knobs_.log_hedge_delay, 2 * shared_->mean_time);
     next_at_ = shared_->now + delay * (1 << sent_);
     ++sent_;
-    ++under_way_;
-    send_([self = this->shared_from_this()](Outcome outcome) { self->take(std::move(outcome)); });
+    ++pending_calls_;
+    send_([self = this->shared_from_this()](Outcome outcome) {
+      self->on_outcome(std::move(outcome));
+    });
   }
 
   bool tick() override {
-    if (!over_ && !stopped_ && sent_ < knobs_.log_hedge_calls && shared_->now >= next_at_) {
+    if (!settled_ && !stopped_ && sent_ < knobs_.log_hedge_calls && shared_->now >= next_at_) {
       send();
     }
-    return over_;
+    return settled_;
   }
 
   void stop() override { stopped_ = true; }
 
  private:
-  void take(Outcome outcome) {
-    --under_way_;
-    if (over_ || !shared_->alive) {
+  void on_outcome(Outcome outcome) {
+    --pending_calls_;
+    if (settled_ || !shared_->alive) {
       return;
     }
-    may_be_done_ = may_be_done_ || outcome.status == LogStatus::kUnknown;
+    may_be_applied_ = may_be_applied_ || outcome.status == LogStatus::kUnknown;
     if (!settles(outcome.status)) {
-      if (under_way_ > 0) {
+      if (pending_calls_ > 0) {
         return;
       }
-      outcome.status = may_be_done_ ? LogStatus::kUnknown : LogStatus::kRefused;
+      outcome.status = may_be_applied_ ? LogStatus::kUnknown : LogStatus::kRefused;
     } else {
-      constexpr int kMemory = 5;  // Writes that the mean spans.
+      constexpr int kMemory = 5;  // Weight of the mean: it spans about this many writes.
       shared_->mean_time += (shared_->now - started_ - shared_->mean_time) / kMemory;
     }
-    over_ = true;
+    settled_ = true;
     const Done done = std::move(done_);
     done(std::move(outcome));
   }
@@ -73,9 +75,9 @@
   const TimePoint started_;
   TimePoint next_at_{};
   int sent_ = 0;
-  int under_way_ = 0;
-  bool may_be_done_ = false;  ///< One of the calls ended without an answer.
-  bool over_ = false;
+  int pending_calls_ = 0;
+  bool may_be_applied_ = false;  ///< A call ended without an answer and may have been applied.
+  bool settled_ = false;
   bool stopped_ = false;
 };
 
@@ -94,7 +96,7 @@
 
 void HedgedLog::tick(TimePoint now) {
   shared_->now = now;
-  // A write that is sent again may end at once, and its callback may start others.
+  // Sending a write again may finish it at once, and its callback may start other writes.
   const std::list<std::shared_ptr<HedgedWrite>> writes = std::move(writes_);
   writes_.clear();
   for (const auto& write : writes) {
@@ -147,7 +149,7 @@
 void HedgedLog::leave(const std::string& group, const std::string& member,
                       std::function<void(LogStatus)> done) {
   for (const auto& write : writes_) {
-    write->stop();  // A join that comes after it would enter the group again.
+    write->stop();  // A late join would enter the group again.
   }
   log_.leave(group, member, std::move(done));
 }
--- a/src/log/http_log_client.hpp
+++ b/src/log/http_log_client.hpp
@@ -5,9 +5,9 @@
 
 namespace dockpoint {
 
-/// Log client for a service that speaks HTTP:
-/// - `POST /streams/NAME` with a msgpack array of byte strings appends; the answer is the msgpack
-///   of the first offset.
+/// Log client for a service with an HTTP interface:
+/// - `POST /streams/NAME` with a msgpack array of byte strings appends them and answers the msgpack
+/// of the first offset.
 /// - `GET /streams/NAME?from=N&limit=N&wait_ms=N` answers the msgpack array `[first, records,
 /// end]`.
 class HttpLogClient : public LogClient {
--- a/src/log/keyed_watch.cpp
+++ b/src/log/keyed_watch.cpp
@@ -39,33 +39,34 @@
   if (!state_->reachable) {
     return WatchState::kLost;
   }
-  // Before its first round after a pause the node does not know yet that it stood still.
+  // Until its first tick after a pause the node has not detected the pause yet.
   const bool paused = now - now_ > knobs_.own_pause;
-  const bool overdue = paused || state_->doubted || (state_->calling && now >= state_->overdue_at);
+  const bool overdue =
+      paused || state_->unconfirmed || (state_->call_pending && now >= state_->overdue_at);
   return overdue ? WatchState::kOverdue : WatchState::kFollowing;
 }
 
 void KeyedWatch::tick(TimePoint now) {
   now_ = now;
-  if (!state_->calling && now >= state_->next_call_at) {
+  if (!state_->call_pending && now >= state_->next_call_at) {
     proceed();
   }
 }
 
 void KeyedWatch::refresh() {
-  state_->wanted = true;
-  if (!state_->calling && now_ >= state_->next_call_at) {
+  state_->refresh_requested = true;
+  if (!state_->call_pending && now_ >= state_->next_call_at) {
     proceed();
   }
 }
 
 void KeyedWatch::mark_unconfirmed() {
-  state_->doubted = true;
-  state_->wanted = true;
+  state_->unconfirmed = true;
+  state_->refresh_requested = true;
   state_->next_call_at = {};
-  if (state_->calling) {
-    state_->calling = false;
-    ++state_->call;  // Its answer, if it still comes, is ignored.
+  if (state_->call_pending) {
+    state_->call_pending = false;
+    ++state_->call;  // A late answer is ignored.
     state_->pages.clear();
     state_->page_key.clear();
     state_->first_page = true;
@@ -78,7 +79,7 @@
 }
 
 void KeyedWatch::proceed() {
-  if (mode_ == WatchMode::kOnDemand && !state_->wanted) {
+  if (mode_ == WatchMode::kOnDemand && !state_->refresh_requested) {
     return;
   }
   if (state_->reload) {
@@ -92,26 +93,26 @@
 }
 
 void KeyedWatch::load_page() {
-  state_->calling = true;
+  state_->call_pending = true;
   if (state_->first_page) {
-    state_->wanted = false;
+    state_->refresh_requested = false;
   }
   const std::uint64_t call = ++state_->call;
   log_.newest(partition_, state_->page_key, [this, state = state_, call](NewestOutcome outcome) {
     if (state->alive && state->call == call) {
-      state->calling = false;
-      take_page(std::move(outcome));
+      state->call_pending = false;
+      on_page(std::move(outcome));
     }
   });
 }
 
-void KeyedWatch::take_page(NewestOutcome outcome) {
+void KeyedWatch::on_page(NewestOutcome outcome) {
   if (outcome.status != LogStatus::kOk) {
     fail();
     return;
   }
-  // Another node that passes records on may be behind what was told before, or behind the page
-  // before: its word would take things back.
+  // A node that relays records may be behind the records delivered before, or behind the previous
+  // page: accepting its answer would revert newer records.
   if (outcome.end < (state_->first_page ? state_->next : state_->load_end)) {
     state_->pages.clear();
     state_->page_key.clear();
@@ -150,31 +151,31 @@
     state->confirmed_at = now_ - state->load_age;
     observer_.on_caught_up();
   }
-  if (state->alive && !state->calling) {
+  if (state->alive && !state->call_pending) {
     proceed();
   }
 }
 
 void KeyedWatch::follow() {
-  state_->calling = true;
-  state_->wanted = false;
-  // While the log is lost no read waits for records: one that begins just before the log's return
-  // would hide it for the whole wait (2.5 s and more, at all nodes at once).
-  const bool waits = mode_ == WatchMode::kFollow && state_->reachable && !state_->doubted;
+  state_->call_pending = true;
+  state_->refresh_requested = false;
+  // While the log is unreachable reads do not wait for records: a read that begins just before the
+  // log recovers would hide the recovery for the whole wait (2.5 s and more, on all nodes at once).
+  const bool waits = mode_ == WatchMode::kFollow && state_->reachable && !state_->unconfirmed;
   const Duration wait = waits ? budget_.draw_wait(peers_, random_) : Duration{};
   const Duration limit = budget_.read_limit(state_->failures);
   state_->overdue_at = now_ + wait + limit / 2;
   const std::uint64_t call = ++state_->call;
   const auto take = [this, state = state_, call](ReadOutcome outcome) {
     if (state->alive && state->call == call) {
-      state->calling = false;
-      take_records(std::move(outcome));
+      state->call_pending = false;
+      on_records(std::move(outcome));
     }
   };
   log_.read(partition_, state_->next, {wait, limit}, take);
 }
 
-void KeyedWatch::take_records(ReadOutcome outcome) {
+void KeyedWatch::on_records(ReadOutcome outcome) {
   if (outcome.status == LogStatus::kCompacted) {
     state_->loaded = false;
     load_page();
@@ -200,7 +201,7 @@
   }
   state->next = std::max(state->next, outcome.next);
   if (mode_ == WatchMode::kOnDemand && !outcome.records.empty() && state->next < outcome.end) {
-    follow();  // The answer holds a part of what there is.
+    follow();  // The answer is only part of the available records.
     return;
   }
   if (mode_ == WatchMode::kFollow && !outcome.records.empty() && state->next >= outcome.end) {
@@ -208,13 +209,13 @@
   }
   state->confirmed_at = now_ - outcome.age;
   observer_.on_caught_up();
-  if (state->alive && !state->calling && now_ >= state->next_call_at) {
+  if (state->alive && !state->call_pending && now_ >= state->next_call_at) {
     proceed();
   }
 }
 
 void KeyedWatch::fail() {
-  state_->wanted = true;
+  state_->refresh_requested = true;
   ++state_->failures;
   state_->next_call_at = now_ + budget_.draw_pause(state_->failures, random_);
   if (state_->reachable) {
@@ -225,7 +226,7 @@
 
 void KeyedWatch::succeed() {
   state_->failures = 0;
-  state_->doubted = false;
+  state_->unconfirmed = false;
   const Duration silence = now_ - std::exchange(state_->answered_at, now_);
   if (!state_->reachable) {
     state_->reachable = true;
--- a/src/log/log_client.hpp
+++ b/src/log/log_client.hpp
@@ -10,22 +10,22 @@
 
 namespace dockpoint {
 
-/// Records of one stream, as one read returns them.
+/// Records of one stream, as returned by one read.
 struct LogPage {
   std::uint64_t first = 0;           ///< Offset of the first record.
-  std::vector<std::string> records;  ///< Consecutive.
-  std::uint64_t end = 0;             ///< Offset that the next append will get.
+  std::vector<std::string> records;  ///< At consecutive offsets.
+  std::uint64_t end = 0;             ///< Offset of the next append.
 };
 
-/// The platform's append-only log. Streams come into being with their first append.
+/// Client of the platform's append-only log. A stream is created by its first append.
 ///
-/// Calls block and may be made from several threads at once.
+/// Calls block and may be made from several threads concurrently.
 class LogClient {
  public:
   virtual ~LogClient() = default;
 
-  /// Appends records in order; the platform may take a part of them and lose the answer.
-  /// @return the offset of the first.
+  /// Appends records in order; the platform may store part of them and lose the answer.
+  /// @return the offset of the first record.
   virtual Result<std::uint64_t> append(const std::string& stream,
                                        const std::vector<std::string>& records) = 0;
 
--- a/src/log/log_wire.hpp
+++ b/src/log/log_wire.hpp
@@ -7,7 +7,7 @@
 
 namespace dockpoint {
 
-/// Answer to a read, as it travels.
+/// Wire format of the answer to a read.
 struct LogPageWire {
   std::uint64_t first = 0;
   std::vector<std::string> records;
--- a/src/log/log_writer.cpp
+++ b/src/log/log_writer.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t kMaximumBytesPerAppend = 4 * 1024 * 1024;
 constexpr std::chrono::milliseconds kAppendRetryPause{200};
 
-/// Takes the records at the front that go into one append.
-std::vector<std::string> front_records(const std::deque<std::string>& waiting) {
+/// Copies the records at the front of the queue that fit into one append.
+std::vector<std::string> next_batch(const std::deque<std::string>& waiting) {
   std::vector<std::string> records;
   std::size_t bytes = 0;
   for (const std::string& record : waiting) {
@@ -36,7 +36,7 @@
   Queue& queue = queues_[stream];
   queue.records.push_back(std::move(record));
   ++unconfirmed_;
-  if (queue.records.size() == 1 && !queue.being_written) {
+  if (queue.records.size() == 1 && !queue.write_in_progress) {
     ready_.push_back(stream);
     changed_.notify_one();
   }
@@ -46,11 +46,11 @@
   std::vector<std::jthread> workers;
   workers.reserve(static_cast<std::size_t>(threads_));
   for (int index = 0; index < threads_; ++index) {
-    workers.emplace_back([this, stop] { work(stop); });
+    workers.emplace_back([this, stop] { run_worker(stop); });
   }
 }
 
-void LogWriter::work(std::stop_token stop) {
+void LogWriter::run_worker(std::stop_token stop) {
   while (true) {
     std::string stream;
     std::vector<std::string> records;
@@ -62,8 +62,8 @@
       stream = ready_.front();
       ready_.pop_front();
       Queue& queue = queues_[stream];
-      queue.being_written = true;
-      records = front_records(queue.records);
+      queue.write_in_progress = true;
+      records = next_batch(queue.records);
     }
     const bool confirmed = write(stream, records);
     if (!confirmed) {
@@ -71,7 +71,7 @@
     }
     const std::lock_guard<std::mutex> lock(mutex_);
     Queue& queue = queues_[stream];
-    queue.being_written = false;
+    queue.write_in_progress = false;
     if (confirmed) {
       queue.records.erase(queue.records.begin(),
                           queue.records.begin() + static_cast<std::ptrdiff_t>(records.size()));
@@ -87,8 +87,8 @@
 bool LogWriter::write(const std::string& stream, const std::vector<std::string>& records) {
   const std::optional<Error> error = error_of([&] { return log_.append(stream, records); });
   if (error) {
-    spdlog::warn("log: An append was not confirmed and is repeated; stream={} records={} reason={}",
-                 stream, records.size(), error->message);
+    spdlog::warn("log: Append not confirmed, retrying; stream={} records={} reason={}", stream,
+                 records.size(), error->message);
   }
   return !error;
 }
--- a/src/log/record_cache.cpp
+++ b/src/log/record_cache.cpp
@@ -47,7 +47,7 @@
 }
 
 void RecordCache::forget_old_removals() {
-  while (removal_offsets_.size() > kMostRemovals) {
+  while (removal_offsets_.size() > kMaxRemovals) {
     const auto oldest = by_offset_.find(*removal_offsets_.begin());
     first_ = oldest->first + 1;
     removals_.erase(oldest->second);
--- a/tests/log/hedged_log_test.cpp
+++ b/tests/log/hedged_log_test.cpp
@@ -51,7 +51,7 @@
   BOOST_TEST(appended() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_write_whose_answer_is_lost_is_settled_by_the_next_call) {
+BOOST_AUTO_TEST_CASE(a_write_with_a_lost_answer_is_settled_by_the_hedged_call) {
   log.faults.lose_answers = 1;
   append();
   run(60);
@@ -62,7 +62,7 @@
   BOOST_TEST(settled_at <= 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_numbered_write_that_was_done_is_not_done_again) {
+BOOST_AUTO_TEST_CASE(a_hedged_append_with_a_producer_position_is_applied_once) {
   log.faults.lose_answers = 1;
   append(ProducerPosition{"owner", 1, 0});
   run(60);
@@ -72,14 +72,14 @@
   BOOST_TEST(appended() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(without_any_answer_the_fate_of_a_write_stays_unknown) {
+BOOST_AUTO_TEST_CASE(a_write_without_any_answer_ends_as_unknown) {
   log.faults.silent = true;
   append();
   run(5'000);
   BOOST_TEST((outcomes == std::vector<LogStatus>{LogStatus::kUnknown}));
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_write_is_told_at_once_unless_another_call_may_have_done_it) {
+BOOST_AUTO_TEST_CASE(a_refusal_is_reported_at_once_unless_another_call_may_have_been_applied) {
   log.faults.down = true;
   append();
   run(20);
@@ -95,7 +95,7 @@
   BOOST_TEST((outcomes == std::vector<LogStatus>{LogStatus::kUnknown}));
 }
 
-BOOST_AUTO_TEST_CASE(a_join_is_sent_again_but_not_after_the_member_has_left) {
+BOOST_AUTO_TEST_CASE(a_join_is_hedged_but_not_after_a_leave) {
   log.faults.silent = true;
   int answers = 0;
   hedged.join("group", "member", {"topic"}, std::chrono::seconds(2), 0,
@@ -115,7 +115,7 @@
   BOOST_TEST(answers == 1);
 }
 
-BOOST_AUTO_TEST_CASE(it_may_go_while_calls_are_under_way) {
+BOOST_AUTO_TEST_CASE(destruction_with_pending_calls_is_safe) {
   {
     HedgedLog short_lived(knobs, log);
     short_lived.tick(at(now));
@@ -126,14 +126,15 @@
   BOOST_TEST(outcomes.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_conditional_append_whose_answer_is_lost_is_done_once) {
+BOOST_AUTO_TEST_CASE(a_conditional_append_with_a_lost_answer_is_applied_once) {
   log.faults.lose_answers = 1;
   hedged.append_at(kPartition, 0, {{"key", "value", 0}},
                    [this](const AppendOutcome& outcome) { outcomes.push_back(outcome.status); });
   log.faults.lose_answers = 0;
   run(400);
   BOOST_REQUIRE(outcomes.size() == 1);
-  BOOST_TEST((outcomes[0] == LogStatus::kEndMoved));  // The writer reads, and finds its record.
+  BOOST_TEST((outcomes[0] ==
+              LogStatus::kEndMoved));  // The writer reads the partition and finds its record.
   BOOST_TEST(appended() == 1);
 }
 
--- a/tests/log/keyed_watch_test.cpp
+++ b/tests/log/keyed_watch_test.cpp
@@ -53,7 +53,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(keyed_watch, Fixture)
 
-BOOST_AUTO_TEST_CASE(it_loads_all_pages_and_follows) {
+BOOST_AUTO_TEST_CASE(all_pages_are_loaded_and_then_changes_are_followed) {
   for (int key = 0; key < 120; ++key) {
     put("k" + std::to_string(key), "1");
   }
@@ -67,7 +67,7 @@
   BOOST_TEST(snapshots == 1);
 }
 
-BOOST_AUTO_TEST_CASE(many_records_in_a_row_come_in_few_reads) {
+BOOST_AUTO_TEST_CASE(consecutive_records_are_read_in_few_calls) {
   run(200);
   const std::size_t before = log.reads();
   for (int key = 0; key < 200; ++key) {
@@ -76,17 +76,17 @@
   }
   run(500);
   BOOST_TEST(values.size() == 200U);
-  BOOST_TEST(log.reads() - before <= 13U);  // One in 200 ms, over 2.5 s.
+  BOOST_TEST(log.reads() - before <= 13U);  // One per 200 ms, over 2.5 s.
 }
 
-BOOST_AUTO_TEST_CASE(a_record_that_comes_alone_is_told_at_once) {
+BOOST_AUTO_TEST_CASE(a_single_record_is_delivered_at_once) {
   run(1'000);
   put("k", "1");
   run(20);
   BOOST_TEST(values.contains("k"));
 }
 
-BOOST_AUTO_TEST_CASE(it_loads_anew_when_history_is_gone) {
+BOOST_AUTO_TEST_CASE(a_compacted_position_causes_a_reload) {
   run(100);
   log.faults.down = true;
   run(5'000);
@@ -100,7 +100,7 @@
   BOOST_TEST(losses == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_wakes_vouches_for_nothing_before_its_first_round) {
+BOOST_AUTO_TEST_CASE(after_a_pause_the_state_is_overdue_before_the_first_tick) {
   for (std::int64_t phase = 0; phase < 3'000; phase += 50) {
     run(200 + phase);
     BOOST_TEST((watch.state(at(now)) == WatchState::kFollowing));
@@ -110,11 +110,11 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(after_a_suspension_nothing_is_vouched_for_until_the_log_confirms_it) {
+BOOST_AUTO_TEST_CASE(after_a_suspension_the_state_is_overdue_until_the_log_confirms_it) {
   for (std::int64_t phase = 0; phase < 3'000; phase += 100) {
     run(200 + phase);
     BOOST_TEST((watch.state(at(now)) == WatchState::kFollowing));
-    // Connections died meanwhile: a read that was under way is never answered.
+    // Connections died in the suspension: the pending read is never answered.
     log.faults.silent = true;
     log.advance(at(now));
     now += 60'000;
@@ -128,7 +128,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(it_outlives_a_silent_log) {
+BOOST_AUTO_TEST_CASE(the_watch_recovers_from_a_silent_log) {
   run(100);
   log.faults.silent = true;
   run(6'000);
@@ -138,14 +138,15 @@
   BOOST_TEST(values["a"] == "1");
 }
 
-// The log was silent for five seconds. A read that had begun shortly before its return was never
-// answered, and the watch waited for it until its time limit, 3.25 s, so that a configuration that
-// was acknowledged after the return was not in force within its 2 s. All nodes were in step:
+// Guards against late updates after an outage in which the log accepts calls but does not answer. A
+// read begun shortly before the log recovered was never answered, and the watch waited for its
+// timeout of 3.25 s, so that a configuration acknowledged after the recovery was not in force
+// within its 2 s. All nodes were affected at the same time:
 //   fleet: log lost topic=CONFIGURATION   at nine of nine nodes, 7.466 to 7.480 s
-//   fleet: log regained topic=REPLICAS    at nine of nine nodes, 14.330 to 14.486 s, where the
-//   log had answered again from 11.37 s on.
-// The silence here ends at each phase of a read.
-BOOST_AUTO_TEST_CASE(news_after_a_silent_log_returns_come_in_time) {
+//   fleet: log regained topic=REPLICAS    at nine of nine nodes, 14.330 to 14.486 s, although
+//   the log had answered again from 11.37 s on.
+// The test ends the silence at each phase of a read.
+BOOST_AUTO_TEST_CASE(records_are_delivered_in_time_after_a_silent_log_recovers) {
   constexpr std::int64_t kInForceMs = 2'000;
   constexpr std::int64_t kPhaseStepMs = 100;
   run(200);
@@ -156,13 +157,14 @@
     const std::string value = std::to_string(silence);
     put("a", value);
     run(kInForceMs);
-    BOOST_TEST(values["a"] == value, "not told in time after a silence of " << silence << " ms");
+    BOOST_TEST(values["a"] == value,
+               "not delivered in time after a silence of " << silence << " ms");
     run(5'000);
     BOOST_TEST(values["a"] == value);
   }
 }
 
-BOOST_AUTO_TEST_CASE(on_demand_it_reads_to_the_end_and_only_when_asked) {
+BOOST_AUTO_TEST_CASE(an_on_demand_watch_reads_to_the_end_only_after_a_refresh) {
   KeyedWatch on_demand{knobs, log, kPartition, 8, *this, WatchMode::kOnDemand};
   const auto run_on_demand = [&] {
     for (const std::int64_t end = now + 200; now < end; now += 10) {
@@ -186,7 +188,7 @@
   BOOST_TEST(on_demand.position() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_refresh_that_fails_is_repeated) {
+BOOST_AUTO_TEST_CASE(a_failed_refresh_is_retried) {
   KeyedWatch on_demand{knobs, log, kPartition, 8, *this, WatchMode::kOnDemand};
   put("a", "1");
   log.faults.down = true;
--- a/tests/log/record_cache_test.cpp
+++ b/tests/log/record_cache_test.cpp
@@ -10,21 +10,21 @@
   RecordCache cache;
   Fixture() { cache.replace({{"a", "1", 3}, {"b", "1", 5}}, 6); }
   std::vector<std::string> read(LogOffset from) const {
-    std::vector<std::string> told;
+    std::vector<std::string> lines;
     for (const KeyedRecord& record : cache.read(from, {}).records) {
-      told.push_back(record.key + "=" + record.value);
+      lines.push_back(record.key + "=" + record.value);
     }
-    return told;
+    return lines;
   }
 };
 
-using Told = std::vector<std::string>;
+using Lines = std::vector<std::string>;
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(record_cache, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_load_tells_the_newest_of_each_key) {
+BOOST_AUTO_TEST_CASE(a_load_returns_the_newest_record_of_each_key) {
   cache.add({"a", "2", 6});
   cache.add({"b", "", 7});
   const NewestOutcome page = cache.newest("", {});
@@ -34,18 +34,18 @@
   BOOST_TEST(!page.more);
 }
 
-BOOST_AUTO_TEST_CASE(a_read_goes_on_where_the_reader_stands) {
+BOOST_AUTO_TEST_CASE(a_read_continues_from_the_readers_offset) {
   BOOST_TEST(read(6).empty());
   cache.add({"c", "1", 6});
   cache.add({"a", "", 7});
   cache.add({"c", "2", 8});
-  BOOST_TEST(read(6) == (Told{"a=", "c=2"}), boost::test_tools::per_element());
-  BOOST_TEST(read(8) == (Told{"c=2"}), boost::test_tools::per_element());
+  BOOST_TEST(read(6) == (Lines{"a=", "c=2"}), boost::test_tools::per_element());
+  BOOST_TEST(read(8) == (Lines{"c=2"}), boost::test_tools::per_element());
   BOOST_TEST(cache.read(9, {}).records.empty());
   BOOST_TEST(cache.read(9, {}).next == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(an_older_record_changes_nothing) {
+BOOST_AUTO_TEST_CASE(an_older_record_is_ignored) {
   cache.add({"a", "0", 2});
   cache.add({"b", "", 4});
   BOOST_TEST(cache.newest("", {}).records.size() == 2U);
@@ -54,20 +54,20 @@
   BOOST_TEST(cache.newest("", {}).records.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(what_lies_before_its_load_is_forgotten) {
+BOOST_AUTO_TEST_CASE(offsets_before_the_load_count_as_compacted) {
   BOOST_TEST((cache.read(5, {}).status == LogStatus::kCompacted));
 }
 
-BOOST_AUTO_TEST_CASE(removals_are_remembered_up_to_a_number) {
+BOOST_AUTO_TEST_CASE(tombstones_are_retained_up_to_the_limit) {
   LogOffset offset = 6;
-  for (std::size_t count = 0; count < RecordCache::kMostRemovals + 10; ++count) {
+  for (std::size_t count = 0; count < RecordCache::kMaxRemovals + 10; ++count) {
     cache.add({"gone-" + std::to_string(count), "", offset++});
   }
   BOOST_TEST((cache.read(6, {}).status == LogStatus::kCompacted));
   BOOST_TEST((cache.read(16, {}).status == LogStatus::kOk));
 }
 
-BOOST_AUTO_TEST_CASE(long_answers_come_in_pages_that_lack_nothing) {
+BOOST_AUTO_TEST_CASE(long_answers_are_paged_without_gaps) {
   constexpr std::size_t kRecords = 3 * RecordCache::kPageRecords + 7;
   for (std::size_t count = 0; count < kRecords; ++count) {
     cache.add({"k" + std::to_string(count), "1", 6 + count});
@@ -93,8 +93,8 @@
   BOOST_TEST(loaded == kRecords + 2);
 }
 
-// A reader that wants a part is moved past the records of others.
-BOOST_AUTO_TEST_CASE(a_part_is_told_with_the_position_of_the_whole) {
+// A reader with a filter advances past records that the filter excludes.
+BOOST_AUTO_TEST_CASE(a_filtered_read_advances_to_the_end_of_the_partition) {
   cache.add({"c", "1", 6});
   cache.add({"d", "1", 7});
   const auto only_c = [](const KeyedRecord& record) { return record.key == "c"; };
--- a/tests/support/log_faults.hpp
+++ b/tests/support/log_faults.hpp
@@ -6,7 +6,7 @@
 
 namespace dockpoint::test {
 
-/// @return faults of a log drawn at random: away, silent, losing answers or appending late.
+/// @return randomly drawn faults of a log: unreachable, silent, losing answers or delaying appends.
 MemoryLogFaults draw_log_faults(std::mt19937_64& random);
 
 }  // namespace dockpoint::test
