--- a/src/log/record_cache.cpp
+++ b/src/log/record_cache.cpp
@@ -47,7 +47,7 @@
 }
 
 void RecordCache::forget_old_removals() {
-  while (removal_offsets_.size() > kMostRemovals) {
+  while (removal_offsets_.size() > kMaxRemovals) {
     const auto oldest = by_offset_.find(*removal_offsets_.begin());
     first_ = oldest->first + 1;
     removals_.erase(oldest->second);
@@ -75,7 +75,7 @@
 ReadOutcome RecordCache::read(LogOffset from, const Filter& filter) const {
   ReadOutcome outcome{LogStatus::kOk, {}, end_};
   if (from < first_) {
-    outcome.status = LogStatus::kForgotten;
+    outcome.status = LogStatus::kCompacted;
     return outcome;
   }
   outcome.next = end_;
