--- a/include/dockpoint/admission/caller_identity.hpp
+++ b/include/dockpoint/admission/caller_identity.hpp
@@ -25,7 +25,7 @@
 };
 
 /// How far a node can vouch for the configuration that it acts on.
-struct ConfigurationConfidence {
+struct ConfigurationFreshness {
   bool following = false;  ///< The log has confirmed it within the bound on its age.
   Duration age{};          ///< Since the log last confirmed it.
 };
@@ -56,7 +56,7 @@
 /// @param key_needed whether what it asks for is open to tenants only.
 CallerIdentity identify_caller(const TenantDirectory& tenants, bool key_needed,
                                const Credential& credential,
-                               const ConfigurationConfidence& confidence,
+                               const ConfigurationFreshness& confidence,
                                const RevocationPolicy& policy);
 
 }  // namespace dockpoint
--- a/include/dockpoint/admission/crash_evidence.hpp
+++ b/include/dockpoint/admission/crash_evidence.hpp
@@ -30,9 +30,9 @@
 struct CrashReport {
   std::vector<CrashEvidence> evidence;
   std::vector<RequestClearance> clearances;
-  bool answer_wanted = false;  ///< The sender may know too little: it has just started, say.
+  bool reply_requested = false;  ///< The sender may know too little: it has just started, say.
 
-  bool empty() const { return evidence.empty() && clearances.empty() && !answer_wanted; }
+  bool empty() const { return evidence.empty() && clearances.empty() && !reply_requested; }
 };
 
 /// Most pieces of evidence in one message, so that it fits into a datagram.
--- a/include/dockpoint/admission/overload_policy.hpp
+++ b/include/dockpoint/admission/overload_policy.hpp
@@ -20,7 +20,7 @@
 namespace dockpoint {
 
 /// What is known of a request that is about to be sent.
-struct OverloadQuestion {
+struct OverloadInput {
   Duration objective{};      ///< Of the route, to the first byte; zero: none.
   Duration time_left{};      ///< Until the caller gives up.
   Duration expected_wait{};  ///< At the best replica.
@@ -34,7 +34,7 @@
   /// Decides about a request of `route`.
   /// @param spread a number that differs between requests, to spread their returns.
   /// @return when the caller may come back; nothing if the request is admitted.
-  std::optional<Duration> refuse(const std::string& route, const OverloadQuestion& question,
+  std::optional<Duration> refuse(const std::string& route, const OverloadInput& question,
                                  std::uint64_t spread);
 
  private:
--- a/include/dockpoint/admission/tenant_rate_limiter.hpp
+++ b/include/dockpoint/admission/tenant_rate_limiter.hpp
@@ -104,14 +104,14 @@
   /// Decides on a request of a tenant, and counts it if it is admitted.
   RateVerdict admit(const Tenant& tenant, TimePoint now);
   /// A request that was admitted has certainly not run.
-  void give_back(const Tenant& tenant, TimePoint now);
+  void refund(const Tenant& tenant, TimePoint now);
 
   /// @return what the other nodes should know now.
   SpendReport report(TimePoint now);
   /// Takes what another node tells.
-  void take(std::uint32_t node, const SpendReport& report, TimePoint now);
+  void merge_report(std::uint32_t node, const SpendReport& report, TimePoint now);
   /// Another node gave a sign of life.
-  void renew(std::uint32_t node, TimePoint now);
+  void record_heartbeat(std::uint32_t node, TimePoint now);
   /// Forgets what no longer matters; call it several times a second.
   void tick(TimePoint now);
 
--- a/src/admission/caller_identity.cpp
+++ b/src/admission/caller_identity.cpp
@@ -4,7 +4,7 @@
 
 CallerIdentity identify_caller(const TenantDirectory& tenants, bool key_needed,
                                const Credential& credential,
-                               const ConfigurationConfidence& confidence,
+                               const ConfigurationFreshness& confidence,
                                const RevocationPolicy& policy) {
   if (!tenants.enabled() || !key_needed) {
     return {CallerVerdict::kNoTenant, nullptr};
--- a/src/admission/crash_evidence.cpp
+++ b/src/admission/crash_evidence.cpp
@@ -29,8 +29,8 @@
 struct CrashReportWire {
   std::vector<EvidenceWire> evidence;
   std::vector<ClearanceWire> clearances;
-  bool answer_wanted = false;
-  DOCKPOINT_FIELDS(evidence, clearances, answer_wanted)
+  bool reply_requested = false;
+  DOCKPOINT_FIELDS(evidence, clearances, reply_requested)
 };
 
 /// @return when something happened that is so old; an age below zero cannot be meant.
@@ -50,7 +50,7 @@
     wire.clearances.push_back(
         {clearance.request.high, clearance.request.low, to_ms(now - clearance.cleared_at)});
   }
-  wire.answer_wanted = report.answer_wanted;
+  wire.reply_requested = report.reply_requested;
   return kCrashReportTag + pack(wire);
 }
 
@@ -76,7 +76,7 @@
   for (const ClearanceWire& clearance : wire->clearances) {
     report.clearances.push_back({{clearance.high, clearance.low}, time_of(clearance.age_ms, now)});
   }
-  report.answer_wanted = wire->answer_wanted;
+  report.reply_requested = wire->reply_requested;
   return report;
 }
 
--- a/src/admission/overload_policy.cpp
+++ b/src/admission/overload_policy.cpp
@@ -7,7 +7,7 @@
 namespace dockpoint {
 
 std::optional<Duration> OverloadPolicy::refuse(const std::string& route,
-                                               const OverloadQuestion& question,
+                                               const OverloadInput& question,
                                                std::uint64_t spread) {
   Duration& longest = longest_time_[route];
   longest = std::max(longest, question.time_left);
--- a/src/admission/tenant_rate_limiter.cpp
+++ b/src/admission/tenant_rate_limiter.cpp
@@ -259,7 +259,7 @@
   return account.tokens < 1 ? RateRefusal::kOverLimit : RateRefusal::kNodeShare;
 }
 
-void TenantRateLimiter::give_back(const Tenant& tenant, TimePoint now) {
+void TenantRateLimiter::refund(const Tenant& tenant, TimePoint now) {
   const auto found = accounts_.find(tenant_key(tenant.name));
   if (found == accounts_.end() || found->second.total == 0) {
     return;
@@ -294,8 +294,8 @@
   account.unreported = std::min(account.unreported, account.recent.size());
 }
 
-void TenantRateLimiter::take(std::uint32_t node, const SpendReport& report, TimePoint now) {
-  renew(node, now);
+void TenantRateLimiter::merge_report(std::uint32_t node, const SpendReport& report, TimePoint now) {
+  record_heartbeat(node, now);
   Peer& peer = peers_[node];
   if (peer.run != report.run) {
     peer.run = report.run;
@@ -329,7 +329,7 @@
   account.of_peers.add(now, std::max(0.0, requests));
 }
 
-void TenantRateLimiter::renew(std::uint32_t node, TimePoint now) {
+void TenantRateLimiter::record_heartbeat(std::uint32_t node, TimePoint now) {
   peers_[node].heard = now;
 }
 
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -186,7 +186,7 @@
 
 void CrashWatch::take(const CrashReport& report, const std::string& address, TimePoint now) {
   merge(report, address, now);
-  if (report.answer_wanted) {
+  if (report.reply_requested) {
     spread_.answer(address);
   }
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -349,7 +349,7 @@
                            const RoutingConfiguration& configuration, bool key_needed,
                            const Tenant*& tenant) {
   net::RequestHead& head = exchange->request();
-  const ConfigurationConfidence confidence = configuration_confidence(exchange->received());
+  const ConfigurationFreshness confidence = configuration_confidence(exchange->received());
   const CallerIdentity caller =
       identify_caller(configuration.tenants, key_needed, context_.protocol.read_credential(head),
                       confidence, settings_.revocation);
@@ -379,7 +379,7 @@
   return false;
 }
 
-ConfigurationConfidence Gateway::configuration_confidence(TimePoint now) const {
+ConfigurationFreshness Gateway::configuration_confidence(TimePoint now) const {
   const WatchAge age = fleet_.configuration_age(now);
   return {age.state == WatchState::kFollowing, age.age};
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -84,7 +84,7 @@
   /// @return whether the caller may go on.
   bool admit_caller(const net::ExchangePtr& exchange, const RoutingConfiguration& configuration,
                     bool key_needed, const Tenant*& tenant);
-  ConfigurationConfidence configuration_confidence(TimePoint now) const;
+  ConfigurationFreshness configuration_confidence(TimePoint now) const;
   /// No route of the configuration in force matches the request.
   void refuse_without_route(const net::ExchangePtr& exchange, std::string_view path);
   void serve_readiness(const net::ExchangePtr& exchange);
--- a/src/gateway/online_call.cpp
+++ b/src/gateway/online_call.cpp
@@ -449,7 +449,7 @@
   if (sends_ > 0 || info_.last_event_id) {
     return false;
   }
-  const OverloadQuestion question{route_.target, deadline_ - now, choice.expected_wait};
+  const OverloadInput question{route_.target, deadline_ - now, choice.expected_wait};
   const auto pause = proxy_.overload_.refuse(route_.name, question, hash64(info_.id));
   if (pause) {
     load_at_choice_ = choice.replica->load(now);
@@ -487,7 +487,7 @@
   finished_ = true;
   const bool not_run = std::string_view(outcome) == "refused";
   if (counted_ && not_run) {
-    context_.rate_limiter->give_back(*tenant_, net::steady_now());
+    context_.rate_limiter->refund(*tenant_, net::steady_now());
   }
   context_.metrics.count_request(kind(), outcome);
   const std::string_view result = outcome;
--- a/src/gateway/peer_link.cpp
+++ b/src/gateway/peer_link.cpp
@@ -233,7 +233,7 @@
   note_heard(node, now);
   reaches_log_[node] = log_reachable;
   if (context_.rate_limiter != nullptr) {
-    context_.rate_limiter->renew(node, now);
+    context_.rate_limiter->record_heartbeat(node, now);
   }
   context_.replicas.renew_peer(node, now);
 }
@@ -436,7 +436,7 @@
   for (const LoadDigest& digest : digests) {
     take_heartbeat(digest.node, digest.log_reachable, now);
     if (context_.rate_limiter != nullptr) {
-      context_.rate_limiter->take(digest.node, digest.spend, now);
+      context_.rate_limiter->merge_report(digest.node, digest.spend, now);
     }
     const FleetPosition position{digest.configuration_version, digest.fleet_position,
                                  digest.operator_position};
--- a/src/membership/crash_report_spread.cpp
+++ b/src/membership/crash_report_spread.cpp
@@ -97,7 +97,7 @@
   }
   next_gossip_ = now + knobs_.crash_gossip_interval;
   CrashReport report = next_page(now);
-  report.answer_wanted = now < ask_until_;
+  report.reply_requested = now < ask_until_;
   if (report.empty()) {
     return;
   }
--- a/tests/admission/caller_identity_test.cpp
+++ b/tests/admission/caller_identity_test.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr ConfigurationConfidence kFollowing{true, 100ms};
-constexpr ConfigurationConfidence kCutOff{false, 9s};
+constexpr ConfigurationFreshness kFollowing{true, 100ms};
+constexpr ConfigurationFreshness kCutOff{false, 9s};
 
 struct Fixture {
   TenantDirectory tenants = TenantDirectory::build({{"clinic", 0, {}, {"key"}}}).value();
   RevocationPolicy policy;
 
-  CallerIdentity identify(const Credential& credential, const ConfigurationConfidence& confidence,
+  CallerIdentity identify(const Credential& credential, const ConfigurationFreshness& confidence,
                           bool key_needed = true) const {
     return identify_caller(tenants, key_needed, credential, confidence, policy);
   }
--- a/tests/admission/rate_limit_exploration_test.cpp
+++ b/tests/admission/rate_limit_exploration_test.cpp
@@ -171,7 +171,8 @@
       digests_.pop();
       Node& node = nodes_[digest.to];
       if (node.limiter && now_ >= node.paused_until && node.group == nodes_[digest.from].group) {
-        node.limiter->take(static_cast<std::uint32_t>(digest.from), *digest.report, at(now_));
+        node.limiter->merge_report(static_cast<std::uint32_t>(digest.from), *digest.report,
+                                   at(now_));
       }
     }
   }
--- a/tests/admission/rate_limit_fleet_replay_test.cpp
+++ b/tests/admission/rate_limit_fleet_replay_test.cpp
@@ -227,7 +227,7 @@
         digests_.push({relayed + static_cast<std::int64_t>(random_() % 100), index, other, report});
         // Heartbeats are always passed on.
         if (nodes_[other].limiter) {
-          nodes_[other].limiter->renew(static_cast<std::uint32_t>(index), at(now_));
+          nodes_[other].limiter->record_heartbeat(static_cast<std::uint32_t>(index), at(now_));
         }
       }
     }
@@ -239,7 +239,8 @@
       digests_.pop();
       Node& node = nodes_[digest.to];
       if (node.limiter && !is_cut(node, now_) && !is_cut(nodes_[digest.from], now_)) {
-        node.limiter->take(static_cast<std::uint32_t>(digest.from), *digest.report, at(now_));
+        node.limiter->merge_report(static_cast<std::uint32_t>(digest.from), *digest.report,
+                                   at(now_));
       }
     }
   }
--- a/tests/admission/request_quarantine_test.cpp
+++ b/tests/admission/request_quarantine_test.cpp
@@ -183,7 +183,7 @@
   CrashReport report;
   report.evidence.push_back({kRequest, 5, at(1s)});
   report.clearances.push_back({kOther, at(2s)});
-  report.answer_wanted = true;
+  report.reply_requested = true;
   const TimePoint elsewhere = at(9h);
   const auto read = decode_crash_report(encode(report, at(4s)), elsewhere);
   BOOST_REQUIRE(read);
@@ -191,7 +191,7 @@
   BOOST_TEST(read->evidence.at(0).replica == 5U);
   BOOST_TEST((read->evidence.at(0).ended_at == elsewhere - 3s));
   BOOST_TEST((read->clearances.at(0).cleared_at == elsewhere - 2s));
-  BOOST_TEST(read->answer_wanted);
+  BOOST_TEST(read->reply_requested);
 }
 
 BOOST_AUTO_TEST_CASE(damaged_reports_are_refused_or_read_but_never_crash) {
--- a/tests/admission/tenant_rate_limiter_test.cpp
+++ b/tests/admission/tenant_rate_limiter_test.cpp
@@ -36,8 +36,8 @@
   /// Another node tells of `total` requests, the last `recent` of them lately.
   void hear(std::uint32_t node, std::uint32_t run_number, std::uint32_t total,
             std::uint32_t recent) {
-    limiter.take(node, {run_number, ++reports, 2, {{tenant_key("clinic"), total, recent}}},
-                 at(now));
+    limiter.merge_report(node, {run_number, ++reports, 2, {{tenant_key("clinic"), total, recent}}},
+                         at(now));
   }
 };
 
@@ -105,15 +105,15 @@
   run(10'000);
   BOOST_TEST(limiter.admit(tenant, at(now)).admitted);
   const std::uint32_t told = limiter.report(at(now)).spends.front().total;
-  limiter.give_back(tenant, at(now));
+  limiter.refund(tenant, at(now));
   const SpendReport report = limiter.report(at(now));  // The second one.
   BOOST_TEST(report.spends.front().total == told - 1);
   TenantRateLimiter other(knobs, kWindow, 2);
   other.set_limits(tenants);
   other.tick(at(0));
-  other.take(1, {1, 1, 2, {{tenant_key("clinic"), told, 1}}}, at(now));
+  other.merge_report(1, {1, 1, 2, {{tenant_key("clinic"), told, 1}}}, at(now));
   const double before = other.admit(tenant, at(now)).tokens;
-  other.take(1, report, at(now));
+  other.merge_report(1, report, at(now));
   BOOST_TEST(other.admit(tenant, at(now)).tokens >= before - 1 + 1);
 }
 
@@ -121,10 +121,10 @@
   run(10'000);
   const SpendReport older{1, 1, 2, {{tenant_key("clinic"), 3, 3}}};
   const SpendReport newer{1, 2, 2, {{tenant_key("clinic"), 2, 2}}};
-  limiter.take(7, newer, at(now));
+  limiter.merge_report(7, newer, at(now));
   const double before = limiter.admit(tenant, at(now)).tokens;
-  limiter.take(7, older, at(now));
-  limiter.take(7, newer, at(now));
+  limiter.merge_report(7, older, at(now));
+  limiter.merge_report(7, newer, at(now));
   BOOST_TEST(limiter.admit(tenant, at(now)).tokens == before - 1);
 }
 
--- a/tests/membership/crash_report_spread_test.cpp
+++ b/tests/membership/crash_report_spread_test.cpp
@@ -117,7 +117,7 @@
       const Message message = messages_.begin()->second;
       messages_.erase(messages_.begin());
       apply(message.to, message.report, true);
-      if (message.report.answer_wanted) {
+      if (message.report.reply_requested) {
         nodes_[message.to]->spread.answer(std::to_string(message.from));
       }
     }
