--- a/include/dockpoint/admission/caller_identity.hpp
+++ b/include/dockpoint/admission/caller_identity.hpp
@@ -54,9 +54,9 @@
 
 /// Decides who a caller is.
 /// @param key_needed whether what it asks for is open to tenants only.
-CallerIdentity identify_caller(const TenantDirectory& tenants, bool key_needed,
+CallerIdentity identify_caller(const TenantDirectory& tenants, bool key_required,
                                const Credential& credential,
-                               const ConfigurationFreshness& confidence,
+                               const ConfigurationFreshness& freshness,
                                const RevocationPolicy& policy);
 
 }  // namespace dockpoint
--- a/include/dockpoint/admission/fair_queue.hpp
+++ b/include/dockpoint/admission/fair_queue.hpp
@@ -52,8 +52,8 @@
   std::size_t ahead_of(const std::string& tenant) const;
 
  private:
-  std::string longest_tenant() const;
-  void drop_if_empty(const std::string& tenant);
+  std::string tenant_with_longest_queue() const;
+  void remove_if_empty(const std::string& tenant);
 
   std::map<std::string, std::deque<QueuedRequest>> tenants_;
   TenantShares shares_;
--- a/include/dockpoint/admission/overload_policy.hpp
+++ b/include/dockpoint/admission/overload_policy.hpp
@@ -39,7 +39,7 @@
 
  private:
   const Knobs& knobs_;
-  std::map<std::string, Duration> longest_time_;  ///< That callers gave, a route each.
+  std::map<std::string, Duration> longest_time_left_;  ///< That callers gave, a route each.
 };
 
 }  // namespace dockpoint
--- a/include/dockpoint/admission/request_quarantine.hpp
+++ b/include/dockpoint/admission/request_quarantine.hpp
@@ -67,20 +67,20 @@
 
  private:
   struct Entry {
-    std::map<std::uint64_t, TimePoint> ends;  ///< By replica.
+    std::map<std::uint64_t, TimePoint> crashes;  ///< By replica.
     bool batch = false;
     std::set<std::uint64_t> attributed_elsewhere;  ///< Of `ends`.
     std::optional<TimePoint> cleared_at;
   };
 
-  bool too_old(TimePoint time, TimePoint now) const { return now - time > knobs_.crash_memory; }
+  bool is_expired(TimePoint time, TimePoint now) const { return now - time > knobs_.crash_memory; }
   /// @return times of the ends that count against the request, the newest first.
-  std::vector<TimePoint> ends_against(const Entry& entry, TimePoint now) const;
-  bool quarantines(const Entry& entry, TimePoint now) const;
+  std::vector<TimePoint> attributed_crash_times(const Entry& entry, TimePoint now) const;
+  bool is_quarantined(const Entry& entry, TimePoint now) const;
   /// Decides anew which ends count against which request.
-  void attribute_ends();
+  void attribute_crashes();
   /// Makes room for one more request: drops the one with the fewest ends, the oldest of those.
-  void make_room();
+  void evict_one();
 
   const Knobs& knobs_;
   std::map<RequestFingerprint, Entry> entries_;
--- a/include/dockpoint/admission/tenant_rate_limiter.hpp
+++ b/include/dockpoint/admission/tenant_rate_limiter.hpp
@@ -129,16 +129,16 @@
                         ///< make each node take its own part for the largest.
     DecayingCount of_peers;  ///< Admitted by the others lately.
     std::uint32_t total = 0;
-    std::deque<TimePoint> recent;   ///< When requests were admitted here.
-    std::size_t unreported = 0;     ///< Of these, the newest, which the others do not know of yet.
-    TimePoint changed_at{};         ///< Last change of `total`.
-    double debt_credit = 0;         ///< Requests that it may admit while the bucket is in debt.
-    double first_debt_credit = 0;   ///< Where `debt_credit` begins, below 1: differs by node, so
-                                    ///< that they do not admit at once.
-    double start_part_granted = 0;  ///< Of the tokens that all nodes together begin with.
+    std::deque<TimePoint> recent;  ///< When requests were admitted here.
+    std::size_t unreported = 0;    ///< Of these, the newest, which the others do not know of yet.
+    TimePoint changed_at{};        ///< Last change of `total`.
+    double debt_credit = 0;        ///< Requests that it may admit while the bucket is in debt.
+    double first_debt_credit = 0;  ///< Where `debt_credit` begins, below 1: differs by node, so
+                                   ///< that they do not admit at once.
+    double start_fraction_granted = 0;  ///< Of the tokens that all nodes together begin with.
   };
   /// What another node has told of a tenant before.
-  struct ToldSpend {
+  struct ReportedSpend {
     std::uint32_t total = 0;
     TimePoint at{};
   };
@@ -146,7 +146,7 @@
     std::uint32_t run = 0;
     std::uint32_t number = 0;  ///< Of its newest report.
     TimePoint heard{};
-    std::unordered_map<std::uint32_t, ToldSpend> told;  ///< By tenant.
+    std::unordered_map<std::uint32_t, ReportedSpend> reported;  ///< By tenant.
   };
 
   Account& account_of(std::uint32_t tenant, const RateLimit& limit, TimePoint now);
@@ -165,23 +165,23 @@
   void count_reported(Account& account, TimePoint now) const;
   /// @return whether the node has used its share.
   /// @param allowed as of `allowance`.
-  bool share_used(const Account& account, const RateLimit& limit, double allowed) const;
+  bool exceeds_allowance(const Account& account, const RateLimit& limit, double allowed) const;
   /// @return requests in a window by which the limit may be exceeded.
   double tolerance(const RateLimit& limit) const;
   RateRefusal reason(const Account& account, TimePoint now) const;
   /// @return part of the limit that the nodes which hear each other share.
-  double part() const;
+  double limit_fraction() const;
   void count_nodes(TimePoint now);
   /// Empties all buckets: while this process stood still, others have spent what it does not know
   /// of.
-  void forget_pause(TimePoint now);
-  void forget_recent(Account& account, TimePoint now) const;
+  void reset_after_pause(TimePoint now);
+  void expire_recent(Account& account, TimePoint now) const;
 
   const Knobs& knobs_;
   const RateWindow window_;
   const std::uint32_t run_;
   TimePoint started_{};
-  TimePoint empties_from_{};  ///< Buckets without an account were empty then.
+  TimePoint buckets_empty_at_{};  ///< Buckets without an account were empty then.
   TimePoint last_tick_{};
   std::unordered_map<std::uint32_t, RateLimit> limits_;  ///< Of tenants that have one.
   std::unordered_map<std::uint32_t, Account> accounts_;
@@ -190,7 +190,7 @@
   std::uint32_t reports_ = 0;
   std::size_t heard_ = 1;
   std::size_t known_ = 1;
-  std::size_t told_nodes_ = 0;  ///< By nodes that have run for longer, while this one starts.
+  std::size_t reported_nodes_ = 0;  ///< By nodes that have run for longer, while this one starts.
 };
 
 }  // namespace dockpoint
--- a/src/admission/caller_identity.cpp
+++ b/src/admission/caller_identity.cpp
@@ -2,11 +2,11 @@
 
 namespace dockpoint {
 
-CallerIdentity identify_caller(const TenantDirectory& tenants, bool key_needed,
+CallerIdentity identify_caller(const TenantDirectory& tenants, bool key_required,
                                const Credential& credential,
-                               const ConfigurationFreshness& confidence,
+                               const ConfigurationFreshness& freshness,
                                const RevocationPolicy& policy) {
-  if (!tenants.enabled() || !key_needed) {
+  if (!tenants.enabled() || !key_required) {
     return {CallerVerdict::kNoTenant, nullptr};
   }
   if (credential.count > 1) {
@@ -15,10 +15,10 @@
   const Tenant* tenant = tenants.find_by_key(credential.key);
   if (tenant == nullptr) {
     // Without a key no version can help.
-    const bool certain = confidence.following || credential.key.empty();
+    const bool certain = freshness.following || credential.key.empty();
     return {certain ? CallerVerdict::kUnknownKey : CallerVerdict::kUnsure, nullptr};
   }
-  if (policy.strict && confidence.age > policy.bound) {
+  if (policy.strict && freshness.age > policy.bound) {
     return {CallerVerdict::kUnsure, nullptr};
   }
   return {CallerVerdict::kTenant, tenant};
--- a/src/admission/crash_evidence.cpp
+++ b/src/admission/crash_evidence.cpp
@@ -34,7 +34,7 @@
 };
 
 /// @return when something happened that is so old; an age below zero cannot be meant.
-TimePoint time_of(std::int64_t age_ms, TimePoint now) {
+TimePoint time_from_age(std::int64_t age_ms, TimePoint now) {
   return now - std::chrono::milliseconds(std::max<std::int64_t>(age_ms, 0));
 }
 
@@ -70,11 +70,12 @@
   for (const EvidenceWire& evidence : wire->evidence) {
     report.evidence.push_back({{evidence.high, evidence.low},
                                evidence.replica,
-                               time_of(evidence.age_ms, now),
+                               time_from_age(evidence.age_ms, now),
                                evidence.batch});
   }
   for (const ClearanceWire& clearance : wire->clearances) {
-    report.clearances.push_back({{clearance.high, clearance.low}, time_of(clearance.age_ms, now)});
+    report.clearances.push_back(
+        {{clearance.high, clearance.low}, time_from_age(clearance.age_ms, now)});
   }
   report.reply_requested = wire->reply_requested;
   return report;
--- a/src/admission/fair_queue.cpp
+++ b/src/admission/fair_queue.cpp
@@ -8,7 +8,7 @@
 FairQueue::PushResult FairQueue::push(QueuedRequest request, std::size_t limit) {
   PushResult result;
   if (size_ >= limit) {
-    const std::string longest = longest_tenant();
+    const std::string longest = tenant_with_longest_queue();
     const auto own = tenants_.find(request.tenant);
     const std::size_t own_length = own == tenants_.end() ? 0 : own->second.size();
     if (longest.empty() || own_length + 1 >= tenants_.at(longest).size()) {
@@ -41,7 +41,7 @@
     waiting.pop_front();
     --size_;
     shares_.charge(tenant, request.tokens, request.weight);
-    drop_if_empty(tenant);
+    remove_if_empty(tenant);
     return request;
   }
   return std::nullopt;
@@ -69,7 +69,7 @@
     }
     waiting.erase(found);
     --size_;
-    drop_if_empty(std::string(tenant));
+    remove_if_empty(std::string(tenant));
     return true;
   }
   return false;
@@ -82,14 +82,14 @@
   return std::min(size_, turns);
 }
 
-std::string FairQueue::longest_tenant() const {
+std::string FairQueue::tenant_with_longest_queue() const {
   const auto longest = std::max_element(
       tenants_.begin(), tenants_.end(),
       [](const auto& left, const auto& right) { return left.second.size() < right.second.size(); });
   return longest == tenants_.end() ? std::string{} : longest->first;
 }
 
-void FairQueue::drop_if_empty(const std::string& tenant) {
+void FairQueue::remove_if_empty(const std::string& tenant) {
   const auto found = tenants_.find(tenant);
   if (found != tenants_.end() && found->second.empty()) {
     tenants_.erase(found);
--- a/src/admission/request_quarantine.cpp
+++ b/src/admission/request_quarantine.cpp
@@ -9,54 +9,54 @@
 namespace {
 
 /// Ages in reports do not count the time on the way: what happened looks later by so much at most.
-constexpr Duration kReportDelay = std::chrono::seconds(2);
+constexpr Duration kMaxReportDelay = std::chrono::seconds(2);
 
 }  // namespace
 
 EvidenceEffect RequestQuarantine::take(const CrashEvidence& evidence, TimePoint now) {
-  if (too_old(evidence.ended_at, now)) {
+  if (is_expired(evidence.ended_at, now)) {
     return EvidenceEffect::kKnown;
   }
   if (!entries_.contains(evidence.request) && entries_.size() >= knobs_.crash_requests) {
-    make_room();
+    evict_one();
   }
   Entry& entry = entries_[evidence.request];
   const bool cleared = entry.cleared_at && evidence.ended_at <= *entry.cleared_at;
-  const auto known = entry.ends.find(evidence.replica);
-  if (known != entry.ends.end()) {
+  const auto known = entry.crashes.find(evidence.replica);
+  if (known != entry.crashes.end()) {
     known->second = std::min(known->second, evidence.ended_at);
   }
-  if (cleared || known != entry.ends.end()) {
+  if (cleared || known != entry.crashes.end()) {
     return EvidenceEffect::kKnown;
   }
-  const bool before = quarantines(entry, now);
+  const bool before = is_quarantined(entry, now);
   entry.batch = evidence.batch;
-  entry.ends[evidence.replica] = evidence.ended_at;
-  if (entry.ends.size() > knobs_.crash_ends) {
+  entry.crashes[evidence.replica] = evidence.ended_at;
+  if (entry.crashes.size() > knobs_.crash_ends) {
     const auto oldest = std::min_element(
-        entry.ends.begin(), entry.ends.end(),
+        entry.crashes.begin(), entry.crashes.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; });
-    entry.ends.erase(oldest);
+    entry.crashes.erase(oldest);
   }
-  attribute_ends();
-  return !before && quarantines(entry, now) ? EvidenceEffect::kQuarantined
-                                            : EvidenceEffect::kCounted;
+  attribute_crashes();
+  return !before && is_quarantined(entry, now) ? EvidenceEffect::kQuarantined
+                                               : EvidenceEffect::kCounted;
 }
 
 bool RequestQuarantine::take(const RequestClearance& clearance, TimePoint now) {
   const auto found = entries_.find(clearance.request);
   const bool known = found != entries_.end() && found->second.cleared_at &&
-                     *found->second.cleared_at + kReportDelay >= clearance.cleared_at;
-  if (known || too_old(clearance.cleared_at, now)) {
+                     *found->second.cleared_at + kMaxReportDelay >= clearance.cleared_at;
+  if (known || is_expired(clearance.cleared_at, now)) {
     return false;
   }
   if (found == entries_.end() && entries_.size() >= knobs_.crash_requests) {
-    make_room();
+    evict_one();
   }
   Entry& entry = entries_[clearance.request];
   entry.cleared_at = clearance.cleared_at;
-  std::erase_if(entry.ends, [&](const auto& end) { return end.second <= clearance.cleared_at; });
-  attribute_ends();
+  std::erase_if(entry.crashes, [&](const auto& end) { return end.second <= clearance.cleared_at; });
+  attribute_crashes();
   return true;
 }
 
@@ -66,7 +66,7 @@
   if (found == entries_.end()) {
     return std::nullopt;
   }
-  const std::vector<TimePoint> times = ends_against(found->second, now);
+  const std::vector<TimePoint> times = attributed_crash_times(found->second, now);
   if (times.size() < knobs_.crash_limit) {
     return std::nullopt;
   }
@@ -81,7 +81,7 @@
   if (found == entries_.end()) {
     return report;
   }
-  for (const auto& [replica, ended_at] : found->second.ends) {
+  for (const auto& [replica, ended_at] : found->second.crashes) {
     report.evidence.push_back({request, replica, ended_at, found->second.batch});
   }
   if (found->second.cleared_at) {
@@ -93,7 +93,7 @@
 std::vector<RequestFingerprint> RequestQuarantine::decided(TimePoint now) const {
   std::vector<RequestFingerprint> requests;
   for (const auto& [request, entry] : entries_) {
-    if (entry.cleared_at || quarantines(entry, now)) {
+    if (entry.cleared_at || is_quarantined(entry, now)) {
       requests.push_back(request);
     }
   }
@@ -103,28 +103,28 @@
 std::size_t RequestQuarantine::quarantined(TimePoint now) const {
   return static_cast<std::size_t>(
       std::count_if(entries_.begin(), entries_.end(),
-                    [&](const auto& entry) { return quarantines(entry.second, now); }));
+                    [&](const auto& entry) { return is_quarantined(entry.second, now); }));
 }
 
 void RequestQuarantine::forget_old(TimePoint now) {
   for (auto& [request, entry] : entries_) {
-    std::erase_if(entry.ends, [&](const auto& end) { return too_old(end.second, now); });
-    if (entry.cleared_at && too_old(*entry.cleared_at, now)) {
+    std::erase_if(entry.crashes, [&](const auto& end) { return is_expired(end.second, now); });
+    if (entry.cleared_at && is_expired(*entry.cleared_at, now)) {
       entry.cleared_at.reset();
     }
   }
   std::erase_if(entries_, [](const auto& request_entry) {
     const Entry& entry = request_entry.second;
-    return entry.ends.empty() && !entry.cleared_at;
+    return entry.crashes.empty() && !entry.cleared_at;
   });
-  attribute_ends();
+  attribute_crashes();
 }
 
-void RequestQuarantine::attribute_ends() {
+void RequestQuarantine::attribute_crashes() {
   std::vector<std::pair<RequestFingerprint, Entry*>> suspects;
   for (auto& [request, entry] : entries_) {
     entry.attributed_elsewhere.clear();
-    if (entry.ends.size() >= knobs_.crash_limit) {
+    if (entry.crashes.size() >= knobs_.crash_limit) {
       suspects.emplace_back(request, &entry);
     }
   }
@@ -133,29 +133,31 @@
   }
   const auto rank = [](const auto& suspect) {
     const Entry& entry = *suspect.second;
-    return std::tuple(entry.batch, -static_cast<std::ptrdiff_t>(entry.ends.size()), suspect.first);
+    return std::tuple(entry.batch, -static_cast<std::ptrdiff_t>(entry.crashes.size()),
+                      suspect.first);
   };
   std::sort(suspects.begin(), suspects.end(),
             [&](const auto& left, const auto& right) { return rank(left) < rank(right); });
   std::set<std::uint64_t> attributed;
   for (const auto& [request, entry] : suspects) {
-    for (const auto& [replica, ended_at] : entry->ends) {
+    for (const auto& [replica, ended_at] : entry->crashes) {
       if (entry->batch && attributed.contains(replica)) {
         entry->attributed_elsewhere.insert(replica);
       }
     }
-    if (entry->ends.size() - entry->attributed_elsewhere.size() >= knobs_.crash_limit) {
-      for (const auto& [replica, ended_at] : entry->ends) {
+    if (entry->crashes.size() - entry->attributed_elsewhere.size() >= knobs_.crash_limit) {
+      for (const auto& [replica, ended_at] : entry->crashes) {
         attributed.insert(replica);
       }
     }
   }
 }
 
-std::vector<TimePoint> RequestQuarantine::ends_against(const Entry& entry, TimePoint now) const {
+std::vector<TimePoint> RequestQuarantine::attributed_crash_times(const Entry& entry,
+                                                                 TimePoint now) const {
   std::vector<TimePoint> times;
-  for (const auto& [replica, ended_at] : entry.ends) {
-    if (!too_old(ended_at, now) && !entry.attributed_elsewhere.contains(replica)) {
+  for (const auto& [replica, ended_at] : entry.crashes) {
+    if (!is_expired(ended_at, now) && !entry.attributed_elsewhere.contains(replica)) {
       times.push_back(ended_at);
     }
   }
@@ -163,14 +165,14 @@
   return times;
 }
 
-bool RequestQuarantine::quarantines(const Entry& entry, TimePoint now) const {
-  return ends_against(entry, now).size() >= knobs_.crash_limit;
+bool RequestQuarantine::is_quarantined(const Entry& entry, TimePoint now) const {
+  return attributed_crash_times(entry, now).size() >= knobs_.crash_limit;
 }
 
-void RequestQuarantine::make_room() {
-  const auto newest_end = [](const Entry& entry) {
+void RequestQuarantine::evict_one() {
+  const auto newest_change = [](const Entry& entry) {
     TimePoint newest = entry.cleared_at.value_or(TimePoint{});
-    for (const auto& [replica, ended_at] : entry.ends) {
+    for (const auto& [replica, ended_at] : entry.crashes) {
       newest = std::max(newest, ended_at);
     }
     return newest;
@@ -178,7 +180,8 @@
   const auto least =
       std::min_element(entries_.begin(), entries_.end(), [&](const auto& left, const auto& right) {
         const auto rank = [&](const Entry& entry) {
-          return std::pair(std::min(entry.ends.size(), knobs_.crash_limit), newest_end(entry));
+          return std::pair(std::min(entry.crashes.size(), knobs_.crash_limit),
+                           newest_change(entry));
         };
         return rank(left.second) < rank(right.second);
       });
--- a/src/admission/tenant_rate_limiter.cpp
+++ b/src/admission/tenant_rate_limiter.cpp
@@ -11,67 +11,67 @@
 namespace {
 
 /// Over which a node's share of a tenant's requests is taken.
-constexpr Duration kShareMemory = std::chrono::seconds(2);
+constexpr Duration kShareDecayTime = std::chrono::seconds(2);
 
 /// Requests that weigh as much as an even share does in that.
 constexpr double kEvenShareWeight = 2;
 
 /// Part of the tolerance of the window that is granted as a larger burst, so that small differences
 /// between the nodes' buckets refuse nobody below the limit. The rest is left for overspending.
-constexpr double kTolerancePart = 0.2;
+constexpr double kBurstFraction = 0.2;
 
 /// Part of the tolerance that all nodes together may spend beyond the tokens before they know of
 /// each other. Without it tokens are left standing while requests are refused.
-constexpr double kOverspendPart = 0.4;
+constexpr double kOverspendFraction = 0.4;
 
 /// Part of the tolerance that widens the bucket of a node that is cut off.
-constexpr double kCutOffPart = 0.3;
+constexpr double kCutOffFraction = 0.3;
 
 /// Part of the tolerance that all nodes together begin with after a restart of all: bounded by the
 /// window, whatever was spent before it.
-constexpr double kStartPart = 0.3;
+constexpr double kStartFraction = 0.3;
 
 /// Part of the tolerance that a debt is forgiven in one length of the window: what was overspent
 /// within the tolerance need not be refused afterwards.
-constexpr double kForgivenPart = 0.3;
+constexpr double kForgivenFraction = 0.3;
 
 /// While a debt is within this part of the tolerance, the nodes together admit `kDebtPace` of the
 /// limit's rate; the rest pays the debt. Without it all refuse everything for as long as the debt
 /// lasts, and then all admit at once.
-constexpr double kDebtPart = 0.5;
+constexpr double kPacedDebtFraction = 0.5;
 constexpr double kDebtPace = 0.9;
 
 /// Most requests that a node saves up at that pace.
-constexpr double kMostDebtCredit = 1.5;
+constexpr double kMaxDebtCredit = 1.5;
 
 /// Requests that a node may admit in any case before the others know: from a bucket that is more
 /// than half full, and from any other.
-constexpr double kLeastFromFull = 3;
-constexpr double kLeast = 1;
+constexpr double kMinAllowanceFromFull = 3;
+constexpr double kMinAllowance = 1;
 
 /// Requests are whole and shares are not: a request is admitted if half of it is within the share.
 constexpr double kRounding = 0.5;
 
 /// What other nodes told of a tenant is forgotten after this time; a new report says by itself what
 /// was admitted lately.
-constexpr Duration kToldMemory = std::chrono::seconds(5);
+constexpr Duration kReportedSpendRetention = std::chrono::seconds(5);
 
 /// An account that nobody has used for so long is dropped. Longer than `kToldMemory`: its count
 /// begins anew, and the others must have forgotten the old one.
-constexpr Duration kAccountMemory = std::chrono::seconds(12);
+constexpr Duration kIdleAccountRetention = std::chrono::seconds(12);
 
 /// A node that has just started reckons with as many nodes as others tell it for so long; then it
 /// has heard them itself.
-constexpr Duration kToldNodesTime = std::chrono::seconds(5);
+constexpr Duration kReportedNodesTime = std::chrono::seconds(5);
 
 /// A node that hears a smaller part of the nodes is reported as cut off.
-constexpr double kCutOffBelow = 0.9;
+constexpr double kCutOffThreshold = 0.9;
 
 /// Refusals are put down to the node's start for so long after it.
-constexpr Duration kStartExplains = std::chrono::seconds(3);
+constexpr Duration kStartRefusalTime = std::chrono::seconds(3);
 
-constexpr Duration kShortestRetry = std::chrono::milliseconds(50);
-constexpr Duration kLongestRetry = std::chrono::seconds(10);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(50);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(10);
 
 double seconds_of(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -113,11 +113,11 @@
   std::erase_if(accounts_, [&](const auto& entry) { return !limits_.contains(entry.first); });
   // A limit that comes back counts from zero at all nodes.
   for (auto& [node, peer] : peers_) {
-    std::erase_if(peer.told, [&](const auto& entry) { return !limits_.contains(entry.first); });
+    std::erase_if(peer.reported, [&](const auto& entry) { return !limits_.contains(entry.first); });
   }
 }
 
-double TenantRateLimiter::part() const {
+double TenantRateLimiter::limit_fraction() const {
   return static_cast<double>(heard_) / static_cast<double>(known_);
 }
 
@@ -125,9 +125,9 @@
   // A node that is cut off shares with nobody, and so cannot overspend: that part of the tolerance
   // widens its bucket.
   const bool cut_off = heard_ == 1 && known_ > 1;
-  const double part_of_tolerance = kTolerancePart + (cut_off ? kCutOffPart : 0);
-  const double widened = part_of_tolerance * tolerance(limit);
-  return std::max(1.0, (limit.burst + widened) * part());
+  const double tolerance_fraction = kBurstFraction + (cut_off ? kCutOffFraction : 0);
+  const double widened = tolerance_fraction * tolerance(limit);
+  return std::max(1.0, (limit.burst + widened) * limit_fraction());
 }
 
 double TenantRateLimiter::tolerance(const RateLimit& limit) const {
@@ -139,9 +139,9 @@
                                                           const RateLimit& limit, TimePoint now) {
   auto entry = accounts_.find(tenant);
   if (entry == accounts_.end()) {
-    Account account{.filled_at = empties_from_,
-                    .own = DecayingCount(kShareMemory),
-                    .of_peers = DecayingCount(kShareMemory),
+    Account account{.filled_at = buckets_empty_at_,
+                    .own = DecayingCount(kShareDecayTime),
+                    .of_peers = DecayingCount(kShareDecayTime),
                     .recent = {},
                     .changed_at = now,
                     .first_debt_credit = fraction_of(combine_hash(run_, tenant))};
@@ -154,32 +154,32 @@
 void TenantRateLimiter::fill(Account& account, const RateLimit& limit, TimePoint now) const {
   count_reported(account, now);
   const double time = seconds_of(now - account.filled_at);
-  const double gained = limit.per_second * part() * time;
+  const double gained = limit.per_second * limit_fraction() * time;
   if (account.tokens < 0) {
     const double forgiven_per_second =
-        kForgivenPart * tolerance(limit) * part() / seconds_of(window_.length);
+        kForgivenFraction * tolerance(limit) * limit_fraction() / seconds_of(window_.length);
     account.tokens = std::min(0.0, account.tokens + forgiven_per_second * time);
   }
   // As more nodes are heard after a start or a cut, more of what all may begin with is shared. What
   // was granted may be granted again only as the window passes.
-  if (account.start_part_granted > part()) {
-    account.start_part_granted =
-        std::max(part(), account.start_part_granted - time / seconds_of(window_.length));
+  if (account.start_fraction_granted > limit_fraction()) {
+    account.start_fraction_granted = std::max(
+        limit_fraction(), account.start_fraction_granted - time / seconds_of(window_.length));
   }
-  const double granted = std::max(0.0, part() - account.start_part_granted);
-  account.start_part_granted += granted;
-  account.tokens =
-      std::min(account.tokens + gained + granted * kStartPart * tolerance(limit), capacity(limit));
+  const double granted = std::max(0.0, limit_fraction() - account.start_fraction_granted);
+  account.start_fraction_granted += granted;
+  account.tokens = std::min(account.tokens + gained + granted * kStartFraction * tolerance(limit),
+                            capacity(limit));
   account.filled_at = now;
   pace_debt(account, limit, time, now);
 }
 
 void TenantRateLimiter::pace_debt(Account& account, const RateLimit& limit, double time,
                                   TimePoint now) const {
-  const double largest = kDebtPart * tolerance(limit) * part();
+  const double largest = kPacedDebtFraction * tolerance(limit) * limit_fraction();
   const bool in_debt = account.tokens < 0 && account.tokens > -largest;
-  const double pace = kDebtPace * limit.per_second * part() * share_of(account, now);
-  account.debt_credit = in_debt ? std::min(kMostDebtCredit, account.debt_credit + pace * time)
+  const double pace = kDebtPace * limit.per_second * limit_fraction() * share_of(account, now);
+  account.debt_credit = in_debt ? std::min(kMaxDebtCredit, account.debt_credit + pace * time)
                                 : account.first_debt_credit;
 }
 
@@ -205,16 +205,16 @@
   const double even = 1.0 / static_cast<double>(heard_);
   const double share = share_of(account, now);
   // The shares of all nodes add up to one, and so do their parts of the overspend.
-  const double overspend = kOverspendPart * tolerance(limit) * part();
+  const double overspend = kOverspendFraction * tolerance(limit) * limit_fraction();
   return std::max(share, even) * available + share * overspend;
 }
 
-bool TenantRateLimiter::share_used(const Account& account, const RateLimit& limit,
-                                   double allowed) const {
+bool TenantRateLimiter::exceeds_allowance(const Account& account, const RateLimit& limit,
+                                          double allowed) const {
   // Arrivals are random: one standard deviation above the share, the square root, is allowed.
   const double share = std::max(0.0, allowed);
-  const double most = share + std::max(kLeast, std::sqrt(share));
-  const double least = account.tokens > capacity(limit) / 2 ? kLeastFromFull : kLeast;
+  const double most = share + std::max(kMinAllowance, std::sqrt(share));
+  const double least = account.tokens > capacity(limit) / 2 ? kMinAllowanceFromFull : kMinAllowance;
   return static_cast<double>(account.unreported) + kRounding > std::max(least, most);
 }
 
@@ -228,16 +228,17 @@
   Account& account = account_of(tenant_key(tenant.name), tenant.rate, now);
   RateVerdict verdict{true, {}, account.tokens, heard_, known_};
   verdict.share = allowance(account, tenant.rate, now);
-  const bool used = share_used(account, tenant.rate, verdict.share);
+  const bool used = exceeds_allowance(account, tenant.rate, verdict.share);
   const bool paced = account.debt_credit >= 1;
   if ((account.tokens < 1 || used) && !paced) {
     const double missing = std::max(0.0, 1 - account.tokens);
     const Duration refill = std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(missing / (tenant.rate.per_second * part())));
+        std::chrono::duration<double>(missing / (tenant.rate.per_second * limit_fraction())));
     verdict.admitted = false;
     verdict.refusal = reason(account, now);
-    const Duration news = used ? knobs_.rate_report_delay : Duration{};
-    verdict.retry_after = std::clamp(std::max(refill, news), kShortestRetry, kLongestRetry);
+    const Duration report_delay = used ? knobs_.rate_report_delay : Duration{};
+    verdict.retry_after =
+        std::clamp(std::max(refill, report_delay), kMinRetryAfter, kMaxRetryAfter);
     return verdict;
   }
   account.tokens -= 1;
@@ -250,10 +251,10 @@
 }
 
 RateRefusal TenantRateLimiter::reason(const Account& account, TimePoint now) const {
-  if (now - empties_from_ < kStartExplains) {
+  if (now - buckets_empty_at_ < kStartRefusalTime) {
     return RateRefusal::kStarting;
   }
-  if (part() < kCutOffBelow) {
+  if (limit_fraction() < kCutOffThreshold) {
     return RateRefusal::kCutOff;
   }
   return account.tokens < 1 ? RateRefusal::kOverLimit : RateRefusal::kNodeShare;
@@ -278,7 +279,7 @@
   SpendReport report{run_, ++reports_, static_cast<std::uint32_t>(known_), {}};
   for (auto& [tenant, account] : accounts_) {
     count_reported(account, now);
-    forget_recent(account, now);
+    expire_recent(account, now);
     if (now - account.changed_at <= knobs_.rate_report_time) {
       report.spends.push_back(
           {tenant, account.total, static_cast<std::uint32_t>(account.recent.size())});
@@ -287,7 +288,7 @@
   return report;
 }
 
-void TenantRateLimiter::forget_recent(Account& account, TimePoint now) const {
+void TenantRateLimiter::expire_recent(Account& account, TimePoint now) const {
   while (!account.recent.empty() && now - account.recent.front() > knobs_.rate_report_time) {
     account.recent.pop_front();
   }
@@ -299,25 +300,25 @@
   Peer& peer = peers_[node];
   if (peer.run != report.run) {
     peer.run = report.run;
-    peer.told.clear();
+    peer.reported.clear();
   } else if (static_cast<std::int32_t>(report.number - peer.number) <= 0) {
     return;  // It came by another way before, or a later one has.
   }
   peer.number = report.number;
-  told_nodes_ = std::max<std::size_t>(told_nodes_, report.known_nodes);
+  reported_nodes_ = std::max<std::size_t>(reported_nodes_, report.known_nodes);
   for (const TenantSpend& spend : report.spends) {
     const auto limit = limits_.find(spend.tenant);
     if (limit == limits_.end()) {
       continue;
     }
-    const auto [told, added] = peer.told.try_emplace(spend.tenant);
-    const bool first = added || now - told->second.at > kToldMemory;
+    const auto [reported, added] = peer.reported.try_emplace(spend.tenant);
+    const bool first = added || now - reported->second.at > kReportedSpendRetention;
     // Totals wrap around, and shrink when requests are given back.
-    const auto since_told = static_cast<std::int32_t>(spend.total - told->second.total);
-    const double news = first ? static_cast<double>(spend.recent) : since_told;
-    told->second = {spend.total, now};
-    if (news != 0) {
-      charge(account_of(spend.tenant, limit->second, now), limit->second, news, now);
+    const auto since_reported = static_cast<std::int32_t>(spend.total - reported->second.total);
+    const double newly_admitted = first ? static_cast<double>(spend.recent) : since_reported;
+    reported->second = {spend.total, now};
+    if (newly_admitted != 0) {
+      charge(account_of(spend.tenant, limit->second, now), limit->second, newly_admitted, now);
     }
   }
 }
@@ -336,28 +337,29 @@
 void TenantRateLimiter::tick(TimePoint now) {
   if (started_ == TimePoint{}) {
     started_ = now;
-    empties_from_ = now;
+    buckets_empty_at_ = now;
   } else if (now - last_tick_ > knobs_.own_pause) {
-    forget_pause(now);
+    reset_after_pause(now);
   }
   last_tick_ = now;
   count_nodes(now);
   for (auto& [node, peer] : peers_) {
-    std::erase_if(peer.told,
-                  [&](const auto& entry) { return now - entry.second.at > kToldMemory; });
+    std::erase_if(peer.reported, [&](const auto& entry) {
+      return now - entry.second.at > kReportedSpendRetention;
+    });
   }
   for (auto entry = accounts_.begin(); entry != accounts_.end();) {
     Account& account = entry->second;
     const RateLimit& limit = limits_.at(entry->first);
     fill(account, limit, now);
     const bool full = account.tokens >= capacity(limit);
-    const bool idle = now - account.changed_at > kAccountMemory;
+    const bool idle = now - account.changed_at > kIdleAccountRetention;
     entry = full && idle ? accounts_.erase(entry) : std::next(entry);
   }
 }
 
-void TenantRateLimiter::forget_pause(TimePoint now) {
-  empties_from_ = now;
+void TenantRateLimiter::reset_after_pause(TimePoint now) {
+  buckets_empty_at_ = now;
   for (auto& [tenant, account] : accounts_) {
     account.tokens = std::min(account.tokens, 0.0);
     account.filled_at = now;
@@ -380,9 +382,9 @@
   const Duration age = now - started_;
   const bool heard_nobody = others_expected_ && peers_.empty();
   if (age < knobs_.rate_start_time || heard_nobody) {
-    known_ = std::max({known_, told_nodes_, knobs_.rate_start_nodes});
-  } else if (age < kToldNodesTime) {
-    known_ = std::max(known_, told_nodes_);
+    known_ = std::max({known_, reported_nodes_, knobs_.rate_start_nodes});
+  } else if (age < kReportedNodesTime) {
+    known_ = std::max(known_, reported_nodes_);
   }
   if (knobs_.rate_shared == 0) {
     heard_ = 1;
--- a/tests/admission/caller_identity_test.cpp
+++ b/tests/admission/caller_identity_test.cpp
@@ -14,9 +14,9 @@
   TenantDirectory tenants = TenantDirectory::build({{"clinic", 0, {}, {"key"}}}).value();
   RevocationPolicy policy;
 
-  CallerIdentity identify(const Credential& credential, const ConfigurationFreshness& confidence,
-                          bool key_needed = true) const {
-    return identify_caller(tenants, key_needed, credential, confidence, policy);
+  CallerIdentity identify(const Credential& credential, const ConfigurationFreshness& freshness,
+                          bool key_required = true) const {
+    return identify_caller(tenants, key_required, credential, freshness, policy);
   }
 };
 
--- a/tests/admission/quarantine_replay_test.cpp
+++ b/tests/admission/quarantine_replay_test.cpp
@@ -18,17 +18,18 @@
 constexpr int kReplicas = 18;
 constexpr int kSlots = 12;
 constexpr Duration kStep = std::chrono::milliseconds(10);
-constexpr Duration kDay = std::chrono::seconds(90);
-constexpr Duration kDown = std::chrono::seconds(4);  ///< Of a replica that crashed.
-constexpr Duration kCallerPause = std::chrono::milliseconds(100);
-constexpr int kRunsOfRequest = 4;  ///< Two attempts of a caller, with two replicas each.
+constexpr Duration kSimulatedTime = std::chrono::seconds(90);
+constexpr Duration kRestartTime = std::chrono::seconds(4);  ///< Of a replica that crashed.
+constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
+constexpr int kAttemptsPerRequest = 4;  ///< Two attempts of a caller, with two replicas each.
 constexpr double kRequestsPerSecond = 60;
-constexpr Duration kLongestRun = std::chrono::milliseconds(1500);
-constexpr Duration kReturn = std::chrono::milliseconds(400);     ///< Of a crashing request.
-constexpr Duration kItemTime = std::chrono::seconds(4);          ///< Of an item, from its start.
-constexpr Duration kItemCheck = std::chrono::milliseconds(150);  ///< Until it is tried again.
-constexpr int kRunsOfItem = 1'000;
-constexpr Duration kUntilCrash = std::chrono::milliseconds(150);
+constexpr Duration kMaxRunTime = std::chrono::milliseconds(1500);
+constexpr Duration kResendInterval = std::chrono::milliseconds(400);  ///< Of a crashing request.
+constexpr Duration kItemRunTime = std::chrono::seconds(4);  ///< Of an item, from its start.
+constexpr Duration kItemRetryInterval =
+    std::chrono::milliseconds(150);  ///< Until it is tried again.
+constexpr int kAttemptsPerItem = 1'000;
+constexpr Duration kTimeToCrash = std::chrono::milliseconds(150);
 
 struct Load {
   int crashing_requests = 0;  ///< That crash what runs them, and come again and again.
@@ -38,12 +39,12 @@
 };
 
 struct Outcome {
-  int innocent = 0;             ///< Requests that crash nothing.
-  int innocent_held = 0;        ///< Of those, kept from the replicas.
-  int items = 0;                ///< Begun.
-  int items_held = 0;           ///< Of those, kept from the replicas at the end of the day.
-  int crashes_of_requests = 0;  ///< Replicas that ended under crashing requests.
-  int most_after_limit = 0;     ///< Ends of one request after it was quarantined.
+  int innocent = 0;                 ///< Requests that crash nothing.
+  int innocent_quarantined = 0;     ///< Of those, kept from the replicas.
+  int items = 0;                    ///< Begun.
+  int items_quarantined = 0;        ///< Of those, kept from the replicas at the end of the day.
+  int crashes_of_requests = 0;      ///< Replicas that ended under crashing requests.
+  int max_crashes_after_limit = 0;  ///< Ends of one request after it was quarantined.
 };
 
 /// How requests are judged.
@@ -56,30 +57,31 @@
 class Replay {
  public:
   Replay(const Load& load, const Rule& rule, std::uint64_t seed)
-      : load_(load), random_(seed), quarantine_(with(rule)) {
+      : load_(load), random_(seed), quarantine_(make_quarantine(rule)) {
     for (int replica = 0; replica < load.failing_replicas; ++replica) {
       for (int crash = 0; crash < load.crashes; ++crash) {
-        own_crashes_.emplace(start_ + random_time(kDay), replica);
+        own_crashes_.emplace(start_ + random_time(kSimulatedTime), replica);
       }
     }
     for (int request = 0; request < load.crashing_requests; ++request) {
-      returns_.emplace(start_ + random_time(kDay / 2), static_cast<std::uint64_t>(request));
+      resends_.emplace(start_ + random_time(kSimulatedTime / 2),
+                       static_cast<std::uint64_t>(request));
     }
   }
 
   Outcome run() {
-    for (now_ = start_; now_ < start_ + kDay; now_ += kStep) {
+    for (now_ = start_; now_ < start_ + kSimulatedTime; now_ += kStep) {
       end_runs();
       crash_replicas();
       quarantine_.forget_old(now_);
-      take_arrivals();
+      start_arrivals();
     }
-    for (const auto& [time, run] : repeats_) {
-      outcome_.items_held += run.item && quarantine_.check(run.request, now_) ? 1 : 0;
+    for (const auto& [time, run] : retries_) {
+      outcome_.items_quarantined += run.item && quarantine_.check(run.request, now_) ? 1 : 0;
     }
-    for (const auto& [request, ends] : ends_of_crashing_) {
+    for (const auto& [request, ends] : crashes_by_request_) {
       const int beyond = ends - static_cast<int>(knobs_.crash_limit);
-      outcome_.most_after_limit = std::max(outcome_.most_after_limit, beyond);
+      outcome_.max_crashes_after_limit = std::max(outcome_.max_crashes_after_limit, beyond);
     }
     return outcome_;
   }
@@ -90,11 +92,11 @@
     int replica = 0;
     TimePoint until{};
     bool crashes = false;
-    int runs_left = 0;
+    int attempts_left = 0;
     bool item = false;
   };
 
-  RequestQuarantine with(const Rule& rule) {
+  RequestQuarantine make_quarantine(const Rule& rule) {
     knobs_.crash_limit = rule.limit;
     knobs_.crash_attribution = rule.attribution;
     return RequestQuarantine(knobs_);
@@ -103,56 +105,56 @@
     return Duration(std::uniform_int_distribution<std::int64_t>(0, longest.count())(random_));
   }
 
-  void take_arrivals() {
+  void start_arrivals() {
     const double mean = kRequestsPerSecond * std::chrono::duration<double>(kStep).count();
     for (int count = std::poisson_distribution<int>(mean)(random_); count > 0; --count) {
       ++outcome_.innocent;
-      start({{0, ++last_innocent_}, 0, {}, false, kRunsOfRequest});
+      start({{0, ++last_innocent_}, 0, {}, false, kAttemptsPerRequest});
     }
     for (; items_running_ < load_.items; ++items_running_) {
       ++outcome_.items;
-      start({{2, ++last_item_}, 0, {}, false, kRunsOfItem, true});
+      start({{2, ++last_item_}, 0, {}, false, kAttemptsPerItem, true});
     }
-    while (!repeats_.empty() && repeats_.begin()->first <= now_) {
-      const Run run = repeats_.begin()->second;
-      repeats_.erase(repeats_.begin());
+    while (!retries_.empty() && retries_.begin()->first <= now_) {
+      const Run run = retries_.begin()->second;
+      retries_.erase(retries_.begin());
       start(run);
     }
-    while (!returns_.empty() && returns_.begin()->first <= now_) {
-      const std::uint64_t request = returns_.begin()->second;
-      returns_.erase(returns_.begin());
-      returns_.emplace(now_ + kReturn, request);
+    while (!resends_.empty() && resends_.begin()->first <= now_) {
+      const std::uint64_t request = resends_.begin()->second;
+      resends_.erase(resends_.begin());
+      resends_.emplace(now_ + kResendInterval, request);
       start({{1, request}, 0, {}, true, 1});
     }
   }
 
   void start(Run run) {
     if (quarantine_.check(run.request, now_)) {
-      outcome_.innocent_held += run.crashes || run.item ? 0 : 1;
+      outcome_.innocent_quarantined += run.crashes || run.item ? 0 : 1;
       if (run.item) {
-        repeats_.emplace(now_ + kItemCheck, run);
+        retries_.emplace(now_ + kItemRetryInterval, run);
       }
       return;
     }
-    int least = -1;
+    int least_loaded = -1;
     for (int replica = 0; replica < kReplicas; ++replica) {
       const bool up = down_until_[replica] <= now_ && running_[replica] < kSlots;
-      if (up && (least < 0 || running_[replica] < running_[least])) {
-        least = replica;
+      if (up && (least_loaded < 0 || running_[replica] < running_[least_loaded])) {
+        least_loaded = replica;
       }
     }
-    if (least < 0) {
+    if (least_loaded < 0) {
       if (run.item) {
-        repeats_.emplace(now_ + kItemCheck, run);
+        retries_.emplace(now_ + kItemRetryInterval, run);
       }
       return;  // There is no room.
     }
-    run.replica = least;
-    run.until = now_ + (run.crashes ? kUntilCrash
-                        : run.item  ? kItemTime
-                                    : kStep + random_time(kLongestRun));
-    --run.runs_left;
-    ++running_[least];
+    run.replica = least_loaded;
+    run.until = now_ + (run.crashes ? kTimeToCrash
+                        : run.item  ? kItemRunTime
+                                    : kStep + random_time(kMaxRunTime));
+    --run.attempts_left;
+    ++running_[least_loaded];
     runs_.push_back(run);
   }
 
@@ -162,7 +164,7 @@
       if (run.crashes && run.until <= now_) {
         crashed.push_back(run.replica);
         ++outcome_.crashes_of_requests;
-        ++ends_of_crashing_[run.request];
+        ++crashes_by_request_[run.request];
       }
     }
     for (const int replica : crashed) {
@@ -187,16 +189,16 @@
     if (down_until_[replica] > now_) {
       return;
     }
-    down_until_[replica] = now_ + kDown;
-    const auto life =
-        static_cast<std::uint64_t>(replica) * 1'000 + static_cast<std::uint64_t>(lives_[replica]++);
+    down_until_[replica] = now_ + kRestartTime;
+    const auto incarnation = static_cast<std::uint64_t>(replica) * 1'000 +
+                             static_cast<std::uint64_t>(incarnations_[replica]++);
     std::erase_if(runs_, [&](const Run& run) {
       if (run.replica != replica) {
         return false;
       }
-      quarantine_.take(CrashEvidence{run.request, life, now_, run.item}, now_);
-      if (!run.crashes && run.runs_left > 0) {
-        repeats_.emplace(now_ + kCallerPause, run);
+      quarantine_.take(CrashEvidence{run.request, incarnation, now_, run.item}, now_);
+      if (!run.crashes && run.attempts_left > 0) {
+        retries_.emplace(now_ + kRetryDelay, run);
       }
       return true;
     });
@@ -210,13 +212,13 @@
   const TimePoint start_ = TimePoint(std::chrono::hours(1));
   TimePoint now_ = start_;
   std::map<int, int> running_;
-  std::map<int, int> lives_;
+  std::map<int, int> incarnations_;
   std::map<int, TimePoint> down_until_;
   std::vector<Run> runs_;
-  std::multimap<TimePoint, Run> repeats_;
+  std::multimap<TimePoint, Run> retries_;
   std::multimap<TimePoint, int> own_crashes_;
-  std::multimap<TimePoint, std::uint64_t> returns_;
-  std::map<RequestFingerprint, int> ends_of_crashing_;
+  std::multimap<TimePoint, std::uint64_t> resends_;
+  std::map<RequestFingerprint, int> crashes_by_request_;
   std::uint64_t last_innocent_ = 0;
   std::uint64_t last_item_ = 0;
   int items_running_ = 0;  ///< Or waiting to run again.
@@ -228,20 +230,22 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     const Outcome outcome = Replay(load, rule, seed).run();
     sum.innocent += outcome.innocent;
-    sum.innocent_held += outcome.innocent_held;
+    sum.innocent_quarantined += outcome.innocent_quarantined;
     sum.items += outcome.items;
-    sum.items_held += outcome.items_held;
+    sum.items_quarantined += outcome.items_quarantined;
     sum.crashes_of_requests += outcome.crashes_of_requests;
-    sum.most_after_limit = std::max(sum.most_after_limit, outcome.most_after_limit);
+    sum.max_crashes_after_limit =
+        std::max(sum.max_crashes_after_limit, outcome.max_crashes_after_limit);
   }
   return sum;
 }
 
 std::string describe(const Outcome& outcome) {
   std::ostringstream text;
-  text << "requests held " << outcome.innocent_held << " of " << outcome.innocent << ", items held "
-       << outcome.items_held << " of " << outcome.items << ", crashes "
-       << outcome.crashes_of_requests << ", most after the limit " << outcome.most_after_limit;
+  text << "requests held " << outcome.innocent_quarantined << " of " << outcome.innocent
+       << ", items held " << outcome.items_quarantined << " of " << outcome.items << ", crashes "
+       << outcome.crashes_of_requests << ", most after the limit "
+       << outcome.max_crashes_after_limit;
   return text.str();
 }
 
@@ -252,8 +256,8 @@
 BOOST_AUTO_TEST_CASE(a_third_of_the_replicas_that_crash_three_times_hold_no_innocent_request) {
   const Outcome outcome = sum_of_seeds({0, kReplicas / 3, 3, 20}, {});
   BOOST_TEST_MESSAGE(describe(outcome));
-  BOOST_TEST(outcome.innocent_held == 0);
-  BOOST_TEST(outcome.items_held * 1'000 <= outcome.items);
+  BOOST_TEST(outcome.innocent_quarantined == 0);
+  BOOST_TEST(outcome.items_quarantined * 1'000 <= outcome.items);
 }
 
 BOOST_AUTO_TEST_CASE(requests_that_crash_replicas_hold_few_innocent_requests_and_items) {
@@ -264,9 +268,9 @@
   }
   const Outcome outcome = sum_of_seeds(load, {});
   BOOST_TEST_MESSAGE("as it stands: " << describe(outcome));
-  BOOST_TEST(outcome.most_after_limit <= 3);
-  BOOST_TEST(outcome.innocent_held * 1'000 <= outcome.innocent);
-  BOOST_TEST(outcome.items_held * 1'000 <= outcome.items);
+  BOOST_TEST(outcome.max_crashes_after_limit <= 3);
+  BOOST_TEST(outcome.innocent_quarantined * 1'000 <= outcome.innocent);
+  BOOST_TEST(outcome.items_quarantined * 1'000 <= outcome.items);
 }
 
 BOOST_AUTO_TEST_CASE(without_a_quarantine_a_request_ends_replicas_for_as_long_as_it_comes) {
--- a/tests/admission/rate_limit_exploration_test.cpp
+++ b/tests/admission/rate_limit_exploration_test.cpp
@@ -26,7 +26,7 @@
 constexpr std::int64_t kStepMs = 10;
 constexpr std::int64_t kDigestMs = 200;
 
-struct World {
+struct Scenario {
   std::size_t nodes = 60;
   RateLimit limit{20, 20};
   double demand = 0.6;      ///< Mean, in parts of the rate.
@@ -47,10 +47,10 @@
 
 class Replay {
  public:
-  Replay(const World& world, std::uint64_t seed) : world_(world), random_(seed) {
-    knobs_.rate_shared = world.shared ? 1 : 0;
+  Replay(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
+    knobs_.rate_shared = scenario.shared ? 1 : 0;
     tenants_ = TenantDirectory::build({tenant()}).value();
-    nodes_.resize(world.nodes);
+    nodes_.resize(scenario.nodes);
     for (std::size_t index = 0; index < nodes_.size(); ++index) {
       start(index);
     }
@@ -59,13 +59,13 @@
   Outcome run(std::int64_t milliseconds) {
     const std::int64_t traffic_from = 6'000;
     for (now_ = 0; now_ < milliseconds; now_ += kStepMs) {
-      if (world_.restart_all && now_ == 14'000) {
+      if (scenario_.restart_all && now_ == 14'000) {
         for (std::size_t index = 0; index < nodes_.size(); ++index) {
           stop(index, 1'200 + static_cast<std::int64_t>(random_() % 300));
         }
       }
-      if (world_.faults && now_ > traffic_from && random_() % 25 == 0) {
-        break_something();
+      if (scenario_.faults && now_ > traffic_from && random_() % 25 == 0) {
+        inject_fault();
       }
       deliver();
       for (std::size_t index = 0; index < nodes_.size(); ++index) {
@@ -95,7 +95,7 @@
     bool operator>(const Digest& other) const { return due > other.due; }
   };
 
-  Tenant tenant() const { return {"clinic", 0, world_.limit, {"key"}}; }
+  Tenant tenant() const { return {"clinic", 0, scenario_.limit, {"key"}}; }
 
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
@@ -111,7 +111,7 @@
     nodes_[index].up_at = now_ + for_ms;
   }
 
-  void break_something() {
+  void inject_fault() {
     const std::size_t index = random_() % nodes_.size();
     switch (random_() % 4) {
       case 0:
@@ -156,7 +156,7 @@
     node.next_digest = now_ + kDigestMs;
     const auto report = std::make_shared<const SpendReport>(node.limiter->report(at(now_)));
     // All receivers behind a relay get it, or none: losses come together.
-    const bool lost = uniform() < world_.loss;
+    const bool lost = uniform() < scenario_.loss;
     for (std::size_t other = 0; other < nodes_.size() && !lost; ++other) {
       if (other != index && nodes_[other].group == node.group) {
         const auto delay = 20 + static_cast<std::int64_t>(random_() % 230);
@@ -178,11 +178,13 @@
   }
 
   double rate_now() const {
-    const bool burst = now_ >= world_.burst_from && now_ < world_.burst_from + world_.burst_ms;
+    const bool burst =
+        now_ >= scenario_.burst_from && now_ < scenario_.burst_from + scenario_.burst_ms;
     constexpr std::int64_t kPeriodMs = 6'000;
     constexpr std::int64_t kLowMs = 3'600;
     const double swing = now_ % kPeriodMs < kLowMs ? 0.391 : 1.91;
-    return world_.limit.per_second * world_.demand * swing * (burst ? world_.burst_factor : 1);
+    return scenario_.limit.per_second * scenario_.demand * swing *
+           (burst ? scenario_.burst_factor : 1);
   }
 
   void arrive() {
@@ -190,7 +192,7 @@
     const int requests = std::poisson_distribution<int>(mean)(random_);
     for (int request = 0; request < requests; ++request) {
       const bool wanted = central_admits();
-      const std::size_t index = world_.skewed ? 0 : random_() % nodes_.size();
+      const std::size_t index = scenario_.skewed ? 0 : random_() % nodes_.size();
       Node& node = nodes_[index];
       if (!node.limiter || now_ < node.paused_until) {
         continue;  // Nobody there: the caller goes elsewhere, later.
@@ -206,8 +208,9 @@
 
   /// @return whether one bucket for the whole fleet would admit the request.
   bool central_admits() {
-    const double gained = world_.limit.per_second * static_cast<double>(now_ - central_at_) / 1000;
-    central_ = std::min(world_.limit.burst, central_ + gained);
+    const double gained =
+        scenario_.limit.per_second * static_cast<double>(now_ - central_at_) / 1000;
+    central_ = std::min(scenario_.limit.burst, central_ + gained);
     central_at_ = now_;
     const bool admits = central_ >= 1;
     central_ -= admits ? 1 : 0;
@@ -216,7 +219,8 @@
 
   Outcome outcome() const {
     const double allowed =
-        (world_.limit.per_second * 5 + world_.limit.burst) * (1 + kWindow.overage) + kWindow.slack;
+        (scenario_.limit.per_second * 5 + scenario_.limit.burst) * (1 + kWindow.overage) +
+        kWindow.slack;
     std::size_t worst = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < admitted_.size(); ++last) {
@@ -229,7 +233,7 @@
             wanted_ == 0 ? 0 : static_cast<double>(refused_) / wanted_};
   }
 
-  const World world_;
+  const Scenario scenario_;
   std::mt19937_64 random_;
   Knobs knobs_;
   TenantDirectory tenants_;
@@ -252,16 +256,16 @@
 }
 
 /// Plays a world on all seeds. @return the worst window and the mean part refused.
-Outcome play(const std::function<World(std::mt19937_64&)>& draw) {
+Outcome run_seeds(const std::function<Scenario(std::mt19937_64&)>& draw) {
   Outcome all;
   const std::uint64_t count = seeds();
   for (std::uint64_t seed = 1; seed <= count; ++seed) {
     std::mt19937_64 random(seed);
-    const World world = draw(random);
-    const Outcome one = Replay(world, seed).run(26'000);
+    const Scenario scenario = draw(random);
+    const Outcome one = Replay(scenario, seed).run(26'000);
     if (one.worst_window > 1) {
-      BOOST_TEST_MESSAGE("seed " << seed << " nodes " << world.nodes << " rate "
-                                 << world.limit.per_second << " window " << one.worst_window);
+      BOOST_TEST_MESSAGE("seed " << seed << " nodes " << scenario.nodes << " rate "
+                                 << scenario.limit.per_second << " window " << one.worst_window);
     }
     all.worst_window = std::max(all.worst_window, one.worst_window);
     all.refused_below += one.refused_below / static_cast<double>(count);
@@ -271,27 +275,27 @@
   return all;
 }
 
-World drawn(std::mt19937_64& random) {
+Scenario random_scenario(std::mt19937_64& random) {
   constexpr std::array<std::size_t, 3> kNodes{3, 12, 60};
   constexpr std::array<double, 4> kRates{2, 10, 60, 200};
-  World world;
-  world.nodes = kNodes[random() % kNodes.size()];
+  Scenario scenario;
+  scenario.nodes = kNodes[random() % kNodes.size()];
   const double rate = kRates[random() % kRates.size()];
-  world.limit = {rate, rate};
-  return world;
+  scenario.limit = {rate, rate};
+  return scenario;
 }
 
 /// The tenant sends many times its limit for some seconds.
-World drawn_with_burst(std::mt19937_64& random) {
-  World world = drawn(random);
-  world.burst_factor = 7.5;
-  return world;
+Scenario random_scenario_with_burst(std::mt19937_64& random) {
+  Scenario scenario = random_scenario(random);
+  scenario.burst_factor = 7.5;
+  return scenario;
 }
 
-World drawn_with_faults(std::mt19937_64& random) {
-  World world = drawn_with_burst(random);
-  world.faults = true;
-  return world;
+Scenario random_scenario_with_faults(std::mt19937_64& random) {
+  Scenario scenario = random_scenario_with_burst(random);
+  scenario.faults = true;
+  return scenario;
 }
 
 }  // namespace
@@ -299,24 +303,24 @@
 BOOST_AUTO_TEST_SUITE(rate_limit_exploration)
 
 BOOST_AUTO_TEST_CASE(below_the_limit_hardly_anybody_is_refused) {
-  BOOST_TEST(play(drawn).refused_below < 0.01);
+  BOOST_TEST(run_seeds(random_scenario).refused_below < 0.01);
 }
 
 BOOST_AUTO_TEST_CASE(below_the_limit_it_matters_little_if_one_node_gets_all_requests) {
-  const Outcome outcome = play([](std::mt19937_64& random) {
-    World world = drawn(random);
-    world.skewed = true;
-    return world;
+  const Outcome outcome = run_seeds([](std::mt19937_64& random) {
+    Scenario scenario = random_scenario(random);
+    scenario.skewed = true;
+    return scenario;
   });
   BOOST_TEST(outcome.refused_below < 0.03);
 }
 
 BOOST_AUTO_TEST_CASE(a_tenant_that_sends_many_times_its_limit_is_held_to_it) {
-  BOOST_TEST(play(drawn_with_burst).worst_window <= 1);
+  BOOST_TEST(run_seeds(random_scenario_with_burst).worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(the_limit_holds_while_nodes_are_cut_off_killed_paused_and_added) {
-  BOOST_TEST(play(drawn_with_faults).worst_window <= 1);
+  BOOST_TEST(run_seeds(random_scenario_with_faults).worst_window <= 1);
 }
 
 // Seeds on which windows of up to 1.17 were seen: a node that was killed while it was cut off
@@ -324,17 +328,17 @@
 BOOST_AUTO_TEST_CASE(a_node_that_starts_while_it_is_cut_off_does_not_grant_the_whole_limit) {
   for (const std::uint64_t seed : {238, 424, 491, 614, 638, 735, 764, 905, 974}) {
     std::mt19937_64 random(seed);
-    const World world = drawn_with_faults(random);
-    const double worst = Replay(world, seed).run(26'000).worst_window;
+    const Scenario scenario = random_scenario_with_faults(random);
+    const double worst = Replay(scenario, seed).run(26'000).worst_window;
     BOOST_TEST(worst <= 1, "seed " << seed << ": " << worst);
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_restart_of_all_nodes_in_the_middle_grants_no_second_burst) {
-  const Outcome outcome = play([](std::mt19937_64& random) {
-    World world = drawn_with_burst(random);
-    world.restart_all = true;
-    return world;
+  const Outcome outcome = run_seeds([](std::mt19937_64& random) {
+    Scenario scenario = random_scenario_with_burst(random);
+    scenario.restart_all = true;
+    return scenario;
   });
   BOOST_TEST(outcome.worst_window <= 1);
 }
@@ -343,11 +347,11 @@
 // the limit, but callers of a tenant come to a node by chance, in ones and twos.
 BOOST_AUTO_TEST_CASE(even_parts_without_the_others_word_refuse_far_more_below_the_limit) {
   const auto evenly = [](std::mt19937_64& random) {
-    World world = drawn(random);
-    world.shared = false;
-    return world;
+    Scenario scenario = random_scenario(random);
+    scenario.shared = false;
+    return scenario;
   };
-  BOOST_TEST(play(evenly).refused_below > 5 * play(drawn).refused_below);
+  BOOST_TEST(run_seeds(evenly).refused_below > 5 * run_seeds(random_scenario).refused_below);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/admission/rate_limit_fleet_replay_test.cpp
+++ b/tests/admission/rate_limit_fleet_replay_test.cpp
@@ -49,7 +49,7 @@
 constexpr std::array<int, 7> kRanks{1, 2, 3, 6, 12, 30, 79};
 
 /// What happens beside the traffic.
-struct Day {
+struct FleetScenario {
   bool hot = false;    ///< Two tenants send many times their usual for some seconds.
   bool cut = false;    ///< 35% of the nodes hear nobody for 12 s.
   bool kills = false;  ///< Single nodes are killed and start again.
@@ -57,16 +57,16 @@
   bool added = false;  ///< 18 nodes more.
 };
 
-struct HotTime {
+struct HotPeriod {
   std::int64_t from = 0;
   std::int64_t to = 0;
   double factor = 1;
 };
 
 struct Outcome {
-  double wanted = 0;          ///< Requests that the central buckets admit.
-  double refused = 0;         ///< By the nodes, whether within the limit or above it.
-  double refused_short = 0;   ///< Refused within the limit.
+  double wanted = 0;                ///< Requests that the central buckets admit.
+  double refused = 0;               ///< By the nodes, whether within the limit or above it.
+  double refused_within_limit = 0;  ///< Refused within the limit.
   double admitted_above = 0;  ///< By which the nodes admit more in a second than central buckets.
   double not_matched = 0;     ///< Refused though the central bucket admits this very request.
   double worst_window = 0;    ///< In parts of what it allows.
@@ -75,7 +75,7 @@
   void add(const Outcome& other) {
     wanted += other.wanted;
     refused += other.refused;
-    refused_short += other.refused_short;
+    refused_within_limit += other.refused_within_limit;
     admitted_above += other.admitted_above;
     not_matched += other.not_matched;
     worst_window = std::max(worst_window, other.worst_window);
@@ -83,12 +83,13 @@
       by_reason[reason] += count;
     }
   }
-  double refused_part() const { return wanted == 0 ? 0 : refused_short / wanted; }
+  double refused_part() const { return wanted == 0 ? 0 : refused_within_limit / wanted; }
 };
 
 class FleetReplay {
  public:
-  FleetReplay(const Day& day, std::uint64_t seed) : day_(day), random_(seed) {
+  FleetReplay(const FleetScenario& scenario, std::uint64_t seed)
+      : scenario_(scenario), random_(seed) {
     std::vector<Tenant> tenants;
     for (const int rank : kRanks) {
       const double rate = std::max(kSmallestRate, std::round(kLargestRate / std::pow(rank, kSkew)));
@@ -103,7 +104,7 @@
     for (Node& node : nodes_) {
       start(node);
     }
-    draw_hot_times();
+    draw_hot_periods();
   }
 
   Outcome run() {
@@ -111,20 +112,20 @@
     const std::int64_t added_at = 16'000;
     const std::int64_t restart_at = 17'000 + static_cast<std::int64_t>(random_() % 4'000);
     for (now_ = 0; now_ < kEndMs; now_ += kStepMs) {
-      if (day_.cut && now_ == cut_from) {
+      if (scenario_.cut && now_ == cut_from) {
         cut(kNodes * 35 / 100, 12'000);
       }
-      if (day_.added && now_ >= added_at && now_ < added_at + 180) {
+      if (scenario_.added && now_ >= added_at && now_ < added_at + 180) {
         nodes_.emplace_back();
         start(nodes_.back());
       }
-      if (day_.restart_all && now_ == restart_at / kStepMs * kStepMs) {
+      if (scenario_.restart_all && now_ == restart_at / kStepMs * kStepMs) {
         const auto down = static_cast<std::int64_t>(500 + random_() % 800);
         for (Node& node : nodes_) {
           stop(node, down + static_cast<std::int64_t>(random_() % 200));
         }
       }
-      if (day_.kills && now_ > kTrafficFromMs && random_() % 100 == 0) {
+      if (scenario_.kills && now_ > kTrafficFromMs && random_() % 100 == 0) {
         stop(nodes_[random_() % nodes_.size()],
              1'000 + static_cast<std::int64_t>(random_() % 1'500));
       }
@@ -158,7 +159,7 @@
   };
   struct Account {
     Tenant tenant;
-    HotTime hot;
+    HotPeriod hot;
     double central = 0;  ///< Tokens in the central bucket.
     std::int64_t central_at = 0;
     std::vector<std::int64_t> admitted;
@@ -195,8 +196,8 @@
     }
   }
 
-  void draw_hot_times() {
-    for (int drawn = 0; day_.hot && drawn < 2; ++drawn) {
+  void draw_hot_periods() {
+    for (int drawn = 0; scenario_.hot && drawn < 2; ++drawn) {
       const auto from = static_cast<std::int64_t>(8'000 + random_() % 12'000);
       const auto length = static_cast<std::int64_t>(5'000 + random_() % 3'000);
       const double factor = std::uniform_real_distribution<double>(4, 7.5)(random_);
@@ -287,7 +288,7 @@
   void compare_seconds(const Account& account) {
     for (const auto& [number, second] : account.seconds) {
       const double missing = second.wanted - second.admitted;
-      outcome_.refused_short += std::max(0.0, missing);
+      outcome_.refused_within_limit += std::max(0.0, missing);
       outcome_.admitted_above += std::max(0.0, -missing);
       double refused = 0;
       for (const auto& [reason, count] : second.refused) {
@@ -325,7 +326,7 @@
     return static_cast<double>(worst) / allowed;
   }
 
-  const Day day_;
+  const FleetScenario scenario_;
   std::mt19937_64 random_;
   Knobs knobs_;
   TenantDirectory directory_;
@@ -343,10 +344,10 @@
   return text == nullptr ? kDefaultSeeds : std::strtoull(text, nullptr, 10);
 }
 
-Outcome play(const char* name, const Day& day) {
+Outcome run_seeds(const char* name, const FleetScenario& scenario) {
   Outcome all;
   for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-    const Outcome one = FleetReplay(day, seed).run();
+    const Outcome one = FleetReplay(scenario, seed).run();
     if (one.worst_window > 1) {
       BOOST_TEST_MESSAGE(name << ": seed " << seed << " window " << one.worst_window);
     }
@@ -358,7 +359,7 @@
   }
   const auto percent = [&](double count) { return std::to_string(count / all.wanted * 100) + "%"; };
   BOOST_TEST_MESSAGE(name << ": within the limit " << all.wanted << ", of these refused "
-                          << percent(all.refused_short) << " (" << reasons
+                          << percent(all.refused_within_limit) << " (" << reasons
                           << " ); admitted above it " << percent(all.admitted_above)
                           << ", refused in all " << percent(all.refused)
                           << ", refused though the central bucket admits this very request "
@@ -371,39 +372,39 @@
 BOOST_AUTO_TEST_SUITE(rate_limit_fleet_replay)
 
 BOOST_AUTO_TEST_CASE(on_a_calm_day_hardly_anybody_within_the_limit_is_refused) {
-  const Outcome outcome = play("calm", {});
+  const Outcome outcome = run_seeds("calm", {});
   BOOST_TEST(outcome.refused_part() < 0.005);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_hot_tenant_gets_what_its_limit_allows) {
-  const Outcome outcome = play("hot tenants", {.hot = true});
+  const Outcome outcome = run_seeds("hot tenants", {.hot = true});
   BOOST_TEST(outcome.refused_part() < 0.005);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(nodes_that_are_cut_off_refuse_few_within_the_limit) {
-  const Outcome outcome = play("35% cut off, hot tenants", {.hot = true, .cut = true});
+  const Outcome outcome = run_seeds("35% cut off, hot tenants", {.hot = true, .cut = true});
   BOOST_TEST(outcome.refused_part() < 0.02);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(after_a_restart_of_all_nodes_few_within_the_limit_are_refused) {
   const Outcome outcome =
-      play("all nodes restart, hot tenants", {.hot = true, .restart_all = true});
+      run_seeds("all nodes restart, hot tenants", {.hot = true, .restart_all = true});
   BOOST_TEST(outcome.refused_part() < 0.02);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(kills_and_added_nodes_refuse_few_within_the_limit) {
   const Outcome outcome =
-      play("kills, 18 nodes added, hot tenants", {.hot = true, .kills = true, .added = true});
+      run_seeds("kills, 18 nodes added, hot tenants", {.hot = true, .kills = true, .added = true});
   BOOST_TEST(outcome.refused_part() < 0.02);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(all_at_once_keeps_the_limit) {
-  const Outcome outcome = play("all at once", {true, true, true, true, true});
+  const Outcome outcome = run_seeds("all at once", {true, true, true, true, true});
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
--- a/tests/admission/request_quarantine_test.cpp
+++ b/tests/admission/request_quarantine_test.cpp
@@ -18,11 +18,13 @@
   Knobs knobs;
   RequestQuarantine quarantine{knobs};
 
-  EvidenceEffect end(std::uint64_t replica, Duration time,
-                     const RequestFingerprint& request = kRequest) {
+  EvidenceEffect record_crash(std::uint64_t replica, Duration time,
+                              const RequestFingerprint& request = kRequest) {
     return quarantine.take(CrashEvidence{request, replica, at(time)}, at(time));
   }
-  bool held(Duration time) const { return quarantine.check(kRequest, at(time)).has_value(); }
+  bool is_quarantined(Duration time) const {
+    return quarantine.check(kRequest, at(time)).has_value();
+  }
 };
 
 }  // namespace
@@ -30,46 +32,46 @@
 BOOST_FIXTURE_TEST_SUITE(request_quarantine, Fixture)
 
 BOOST_AUTO_TEST_CASE(the_third_replica_that_ends_under_a_request_quarantines_it) {
-  BOOST_TEST((end(1, 0s) == EvidenceEffect::kCounted));
-  BOOST_TEST((end(2, 1s) == EvidenceEffect::kCounted));
-  BOOST_TEST(!held(1s));
-  BOOST_TEST((end(3, 2s) == EvidenceEffect::kQuarantined));
-  BOOST_TEST(held(2s));
+  BOOST_TEST((record_crash(1, 0s) == EvidenceEffect::kCounted));
+  BOOST_TEST((record_crash(2, 1s) == EvidenceEffect::kCounted));
+  BOOST_TEST(!is_quarantined(1s));
+  BOOST_TEST((record_crash(3, 2s) == EvidenceEffect::kQuarantined));
+  BOOST_TEST(is_quarantined(2s));
   BOOST_TEST(!quarantine.check(kOther, at(2s)));
-  BOOST_TEST((end(4, 3s) == EvidenceEffect::kCounted));
+  BOOST_TEST((record_crash(4, 3s) == EvidenceEffect::kCounted));
 }
 
 BOOST_AUTO_TEST_CASE(one_end_that_several_nodes_saw_counts_once) {
-  end(1, 0s);
-  BOOST_TEST((end(1, 100ms) == EvidenceEffect::kKnown));
-  BOOST_TEST((end(1, 200ms) == EvidenceEffect::kKnown));
-  BOOST_TEST(!held(200ms));
+  record_crash(1, 0s);
+  BOOST_TEST((record_crash(1, 100ms) == EvidenceEffect::kKnown));
+  BOOST_TEST((record_crash(1, 200ms) == EvidenceEffect::kKnown));
+  BOOST_TEST(!is_quarantined(200ms));
 }
 
 BOOST_AUTO_TEST_CASE(word_that_goes_round_among_nodes_does_not_keep_evidence_young) {
   for (const std::uint64_t replica : {1, 2, 3}) {
-    end(replica, 0s);
+    record_crash(replica, 0s);
   }
   for (Duration time = 1s; time < knobs.crash_memory; time += 1s) {
     for (const std::uint64_t replica : {1, 2, 3}) {
       quarantine.take(CrashEvidence{kRequest, replica, at(time - 200ms)}, at(time));
     }
   }
-  BOOST_TEST(!held(knobs.crash_memory + 1ms));
+  BOOST_TEST(!is_quarantined(knobs.crash_memory + 1ms));
 }
 
 BOOST_AUTO_TEST_CASE(a_request_gets_another_trial_when_its_ends_are_old) {
-  end(1, 0s);
-  end(2, 60s);
-  end(3, 120s);
+  record_crash(1, 0s);
+  record_crash(2, 60s);
+  record_crash(3, 120s);
   const auto verdict = quarantine.check(kRequest, at(130s));
   BOOST_REQUIRE(verdict);
   BOOST_TEST(verdict->crashes == 3);
   BOOST_TEST((verdict->since_last_crash == 10s));
   BOOST_TEST((verdict->retry_after == knobs.crash_memory - 130s));
-  BOOST_TEST(held(knobs.crash_memory));
-  BOOST_TEST(!held(knobs.crash_memory + 1ms));
-  BOOST_TEST((end(4, knobs.crash_memory + 1s) == EvidenceEffect::kQuarantined));
+  BOOST_TEST(is_quarantined(knobs.crash_memory));
+  BOOST_TEST(!is_quarantined(knobs.crash_memory + 1ms));
+  BOOST_TEST((record_crash(4, knobs.crash_memory + 1s) == EvidenceEffect::kQuarantined));
 }
 
 BOOST_AUTO_TEST_CASE(evidence_of_long_ago_does_not_count) {
@@ -82,31 +84,31 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_machine_that_was_suspended_for_long_has_forgotten_on_waking) {
-  end(1, 0s);
-  end(2, 0s);
-  end(3, 0s);
+  record_crash(1, 0s);
+  record_crash(2, 0s);
+  record_crash(3, 0s);
   const Duration woken = knobs.crash_memory + 1h;
-  BOOST_TEST(!held(woken));
+  BOOST_TEST(!is_quarantined(woken));
   quarantine.forget_old(at(woken));
   BOOST_TEST(quarantine.empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_cleared_request_is_free_until_replicas_end_again) {
-  end(1, 0s);
-  end(2, 1s);
-  end(3, 2s);
+  record_crash(1, 0s);
+  record_crash(2, 1s);
+  record_crash(3, 2s);
   BOOST_TEST(quarantine.take(RequestClearance{kRequest, at(5s)}, at(5s)));
-  BOOST_TEST(!held(5s));
+  BOOST_TEST(!is_quarantined(5s));
   // Word of the ends before comes late from another node.
   BOOST_TEST(
       (quarantine.take(CrashEvidence{kRequest, 9, at(4s)}, at(6s)) == EvidenceEffect::kKnown));
   BOOST_TEST(!quarantine.take(RequestClearance{kRequest, at(3s)}, at(6s)));
   // The same clearance, told by way of other nodes, looks later.
   BOOST_TEST(!quarantine.take(RequestClearance{kRequest, at(6s)}, at(6s)));
-  end(4, 7s);
-  end(5, 8s);
-  end(6, 9s);
-  BOOST_TEST(held(9s));
+  record_crash(4, 7s);
+  record_crash(5, 8s);
+  record_crash(6, 9s);
+  BOOST_TEST(is_quarantined(9s));
 }
 
 BOOST_AUTO_TEST_CASE(nodes_that_merge_the_same_reports_in_any_order_agree) {
@@ -139,44 +141,44 @@
 
 BOOST_AUTO_TEST_CASE(an_item_that_follows_a_request_which_crashes_replicas_is_free) {
   constexpr RequestFingerprint kItem{3, 3};
-  const auto end_of_item = [&](std::uint64_t replica) {
+  const auto record_item_crash = [&](std::uint64_t replica) {
     return quarantine.take(CrashEvidence{kItem, replica, at(1s), true}, at(1s));
   };
-  const auto item_held = [&] { return quarantine.check(kItem, at(1s)).has_value(); };
-  end_of_item(1);
-  end_of_item(2);
-  BOOST_TEST((end_of_item(3) == EvidenceEffect::kQuarantined));
+  const auto item_is_quarantined = [&] { return quarantine.check(kItem, at(1s)).has_value(); };
+  record_item_crash(1);
+  record_item_crash(2);
+  BOOST_TEST((record_item_crash(3) == EvidenceEffect::kQuarantined));
   // Word of the request that was there each time comes later.
-  end(1, 1s);
-  end(2, 1s);
-  BOOST_TEST(item_held());
-  end(3, 1s);
-  BOOST_TEST(held(1s));
-  BOOST_TEST(!item_held());
-  end_of_item(10);
-  end_of_item(11);
-  BOOST_TEST(!item_held());
-  BOOST_TEST((end_of_item(12) == EvidenceEffect::kQuarantined));
-  BOOST_TEST(held(1s));
+  record_crash(1, 1s);
+  record_crash(2, 1s);
+  BOOST_TEST(item_is_quarantined());
+  record_crash(3, 1s);
+  BOOST_TEST(is_quarantined(1s));
+  BOOST_TEST(!item_is_quarantined());
+  record_item_crash(10);
+  record_item_crash(11);
+  BOOST_TEST(!item_is_quarantined());
+  BOOST_TEST((record_item_crash(12) == EvidenceEffect::kQuarantined));
+  BOOST_TEST(is_quarantined(1s));
 }
 
 BOOST_AUTO_TEST_CASE(a_flood_of_suspects_is_bounded_and_does_not_free_the_quarantined) {
-  end(1, 0s);
-  end(2, 0s);
-  end(3, 0s);
+  record_crash(1, 0s);
+  record_crash(2, 0s);
+  record_crash(3, 0s);
   for (std::uint64_t request = 0; request < 3 * knobs.crash_requests; ++request) {
-    end(1, std::chrono::milliseconds(request), {7, request});
+    record_crash(1, std::chrono::milliseconds(request), {7, request});
   }
   BOOST_TEST(quarantine.size() <= knobs.crash_requests);
-  BOOST_TEST(held(20s));
+  BOOST_TEST(is_quarantined(20s));
 }
 
 BOOST_AUTO_TEST_CASE(ends_of_one_request_are_bounded) {
   for (std::uint64_t replica = 0; replica < 1'000; ++replica) {
-    end(replica, std::chrono::milliseconds(replica));
+    record_crash(replica, std::chrono::milliseconds(replica));
   }
   BOOST_TEST(quarantine.report(kRequest).evidence.size() == knobs.crash_ends);
-  BOOST_TEST(held(1s));
+  BOOST_TEST(is_quarantined(1s));
 }
 
 BOOST_AUTO_TEST_CASE(reports_travel_as_ages) {
