--- a/include/dockpoint/admission/caller_identity.hpp
+++ b/include/dockpoint/admission/caller_identity.hpp
@@ -6,54 +6,53 @@
 #include "dockpoint/config/tenant_directory.hpp"
 #include "dockpoint/core/time.hpp"
 
-/// Who sends a request: the decision on its API key.
+/// Authenticates callers by API key.
 ///
-/// Load pattern: every request passes here, also in a flood of requests with keys that are wrong or
-/// were taken away; the decision therefore reads nothing but the configuration in force.
+/// Load pattern: every request is authenticated, also during a flood of requests with wrong or
+/// revoked keys. The decision therefore reads only the configuration in force.
 ///
-/// A refusal for an unknown key is final for a caller. So a node gives it only while it follows the
-/// log: otherwise the key may have been issued in a version that this node has missed, and the
-/// caller is asked to come back, perhaps to another node. The other way round, a key that is known
-/// may have been revoked in such a version. Unless the operator asks for strict revocation it is
-/// honoured then: an outage of the log must not turn every caller away.
+/// A caller treats the refusal of an unknown key as final, so a node refuses only while it follows
+/// the configuration log. Otherwise the key may have been issued in a version that the node has
+/// missed, and the caller is asked to retry, possibly at another node. Conversely, a known key may
+/// have been revoked in a missed version. Such a key is accepted unless the operator asks for
+/// strict revocation, so that an outage of the log does not reject every caller.
 namespace dockpoint {
 
-/// What a request says of its sender. Borrows the request.
+/// The API key headers of a request. Points into the request.
 struct Credential {
-  std::size_t count = 0;  ///< Headers that hold a key; more than one is malformed.
-  std::string_view key;   ///< The first of them; empty if there is none.
+  std::size_t count = 0;  ///< Number of key headers; more than one is malformed.
+  std::string_view key;   ///< Value of the first key header; empty without one.
 };
 
-/// How far a node can vouch for the configuration that it acts on.
+/// How recently the log has confirmed the node's configuration.
 struct ConfigurationFreshness {
-  bool following = false;  ///< The log has confirmed it within the bound on its age.
-  Duration age{};          ///< Since the log last confirmed it.
+  bool following = false;  ///< Confirmed within the maximum configuration age.
+  Duration age{};          ///< Time since the last confirmation.
 };
 
-/// What the operator asks for revoked keys.
+/// How revoked keys are handled while the configuration may be stale.
 struct RevocationPolicy {
-  /// Refuse callers whose key may have been revoked without this node's knowledge, instead of
-  /// serving them.
+  /// Refuse known keys once the configuration is older than `bound`, since this node may have
+  /// missed their revocation.
   bool strict = false;
-  Duration bound =
-      std::chrono::seconds(5);  ///< Strict: oldest configuration that keys are read from.
+  Duration bound = std::chrono::seconds(5);  ///< Maximum configuration age if `strict`.
 };
 
 enum class CallerVerdict {
-  kNoTenant,    ///< The request needs no key and belongs to no tenant.
-  kTenant,      ///< The key is one of `tenant`.
-  kMalformed,   ///< Several keys.
-  kUnknownKey,  ///< No tenant has the key, or there is none.
-  kUnsure,      ///< This node cannot tell now; another one, or a later one, may.
+  kNoTenant,    ///< No key required; the request belongs to no tenant.
+  kTenant,      ///< The key belongs to `tenant`.
+  kMalformed,   ///< More than one key header.
+  kUnknownKey,  ///< The key is missing or belongs to no tenant.
+  kUnsure,      ///< The configuration may be stale; retry later or elsewhere.
 };
 
 struct CallerIdentity {
   CallerVerdict verdict = CallerVerdict::kNoTenant;
-  const Tenant* tenant = nullptr;  ///< With `kTenant`; lives as long as the directory.
+  const Tenant* tenant = nullptr;  ///< Set with `kTenant`; owned by the directory.
 };
 
-/// Decides who a caller is.
-/// @param key_needed whether what it asks for is open to tenants only.
+/// Authenticates the caller of a request.
+/// @param key_needed whether the requested route is open to tenants only.
 CallerIdentity identify_caller(const TenantDirectory& tenants, bool key_required,
                                const Credential& credential,
                                const ConfigurationFreshness& freshness,
--- a/include/dockpoint/admission/fair_queue.hpp
+++ b/include/dockpoint/admission/fair_queue.hpp
@@ -13,42 +13,44 @@
 
 namespace dockpoint {
 
-/// A request that waits, by its number.
+/// A waiting request, identified by its number.
 struct QueuedRequest {
   std::uint64_t id = 0;
   std::string tenant;
-  double tokens = 0;  ///< Estimated work.
-  int weight = 1;     ///< Of the tenant.
+  double tokens = 0;  ///< Estimated cost.
+  int weight = 1;     ///< Weight of the tenant.
   TimePoint deadline{};
 };
 
-/// Bounded queue, fair across tenants and first in, first out within one.
+/// Bounded queue, fair across tenants and first in, first out per tenant.
 ///
-/// When it is full, a tenant below its equal share of the queue still gets in: the newest request
-/// of the tenant with the most waiting is pushed out, so a greedy tenant cannot shut others out.
+/// When the queue is full, a tenant with a shorter queue is still accepted: it displaces the newest
+/// request of the tenant with the longest queue, so one tenant cannot starve the others.
 class FairQueue {
  public:
-  /// The outcome of `push`.
+  /// Result of `push`.
   struct PushResult {
     bool accepted = false;
-    std::optional<std::uint64_t> displaced;  ///< Pushed out in favour of the new one.
+    std::optional<std::uint64_t> displaced;  ///< Request removed to make room.
   };
 
   PushResult push(QueuedRequest request, std::size_t limit);
 
-  /// Takes out the next request that `fits`; tenants are asked in fair order, each for its oldest.
+  /// Removes and returns the next request that `fits`. Tenants are tried in order of virtual time,
+  /// each with its oldest request only.
   std::optional<QueuedRequest> pop(const std::function<bool(const QueuedRequest&)>& fits);
 
-  /// Takes out every request whose deadline has passed.
+  /// Removes and returns all requests whose deadline has passed.
   std::vector<QueuedRequest> expire(TimePoint now);
 
-  /// Takes out one request, such as one whose caller went away.
+  /// Removes one request, e.g. when its caller has disconnected.
+  /// @return whether the request was queued.
   bool remove(std::uint64_t id);
 
   std::size_t size() const { return size_; }
 
-  /// @return how many requests would go before a new one of `tenant`, if all tenants weigh the
-  /// same: never more than the tenants' turns until its own are through.
+  /// @return estimated number of requests served before a new one of `tenant`, assuming equal
+  /// weights: at most one request per tenant for each of the tenant's own requests.
   std::size_t ahead_of(const std::string& tenant) const;
 
  private:
--- a/include/dockpoint/admission/request_fingerprint.hpp
+++ b/include/dockpoint/admission/request_fingerprint.hpp
@@ -6,21 +6,21 @@
 
 namespace dockpoint {
 
-/// What stays the same when a caller sends a request again, at any node: it tells that two attempts
-/// are one request. Ids, deadlines and the position in a stream differ between attempts and are
-/// left out.
+/// Hash of the parts of a request that do not change when a caller retries it, at any node. It
+/// identifies attempts of the same request. Ids, deadlines and stream positions differ between
+/// attempts and are excluded.
 using RequestFingerprint = Hash128;
 
-/// The parts of a request that make its fingerprint.
+/// The parts of a request that are hashed into its fingerprint.
 struct RequestContent {
   std::string_view method;
   std::string_view host;
   std::string_view target;  ///< Path and query.
-  std::string_view tenant;  ///< Empty: the request belongs to none.
+  std::string_view tenant;  ///< Empty if the request belongs to no tenant.
   std::string_view body;
 };
 
-/// @return the same value for the same content, at all nodes and in all versions.
+/// @return a hash that is the same on all nodes and in all versions for the same content.
 RequestFingerprint fingerprint_of(const RequestContent& content);
 
 }  // namespace dockpoint
--- a/include/dockpoint/admission/request_quarantine.hpp
+++ b/include/dockpoint/admission/request_quarantine.hpp
@@ -9,77 +9,80 @@
 #include "dockpoint/admission/crash_evidence.hpp"
 #include "dockpoint/core/knobs.hpp"
 
-/// Keeps requests that crash replicas (queries of death) from the replicas.
+/// Quarantines requests that crash replicas (queries of death).
 ///
-/// A request is quarantined once enough replicas have ended while they ran it, wherever in the
-/// fleet that was. One end proves little, since everything else that ran there looks the same; a
-/// request that meets ends again and again is not there by chance. Distinct lives of replicas are
-/// counted: several nodes may see the same end.
+/// A request is quarantined once enough replicas, anywhere in the fleet, have ended while running
+/// it. A single end proves little, since every other request that ran there is equally suspect; a
+/// request present at several ends is unlikely to be there by chance. Ends are counted per replica
+/// incarnation, because several nodes may observe the same one.
 ///
-/// Attribution. A batch item is repeated by dockpoint itself until it is done: an innocent one may
-/// follow a request that crashes one replica after the other, and be there each time. So an end
-/// counts against an item only if no quarantined online request was there too. Among items the one
-/// with the most ends is judged first. An online request comes again a few times at most, and is
-/// judged by all of its ends.
+/// Attribution: dockpoint itself retries a batch item until it completes, so an innocent item may
+/// be rescheduled after each crash onto the next replica that a crashing request hits, and be
+/// present every time. A crash therefore counts against an item only if no quarantined online
+/// request was running there too. Among items, the one with the most crashes is attributed first.
+/// An online request is retried a few times at most, so all of its crashes count against it.
 ///
-/// Evidence is forgotten after a time, so that a request gets another trial once the replicas may
-/// have been mended; until then one more end quarantines it again. The evidence of all nodes is a
-/// set that only grows until it is forgotten or cleared: it may be merged in any order, and twice.
+/// Evidence expires, so that a request is tried again once the replicas may have been fixed; until
+/// the rest of its evidence has expired, one more crash quarantines it again. The evidence of all
+/// nodes is a set that only grows until entries expire or are cleared, so merging it is commutative
+/// and idempotent.
 namespace dockpoint {
 
-/// What a piece of evidence has changed.
+/// Effect of a piece of evidence.
 enum class EvidenceEffect {
-  kKnown,        ///< Nothing: it was known, or is too old, or was cleared.
-  kCounted,      ///< It counts; the request is as free, or as quarantined, as before.
-  kQuarantined,  ///< With it the request is quarantined.
+  kKnown,        ///< None: already known, expired or cleared.
+  kCounted,      ///< Recorded; the request's state is unchanged.
+  kQuarantined,  ///< Recorded; the request is now quarantined.
 };
 
-/// Why a request is kept from the replicas.
+/// Details of a quarantined request.
 struct QuarantineVerdict {
   int crashes = 0;
   Duration since_last_crash{};
-  Duration retry_after{};  ///< Until it gets another trial, if no more evidence comes.
+  Duration retry_after{};  ///< Until the quarantine ends without new evidence.
 };
 
-/// See the top of this file. Not thread-safe.
+/// See the file comment. Not thread-safe.
 class RequestQuarantine {
  public:
   explicit RequestQuarantine(const Knobs& knobs) : knobs_(knobs) {}
 
+  /// Merges a crash reported by this or another node.
   EvidenceEffect take(const CrashEvidence& evidence, TimePoint now);
-  /// @return whether it is news.
+  /// Merges an operator's clearance of a request.
+  /// @return whether the clearance was new.
   bool take(const RequestClearance& clearance, TimePoint now);
 
-  /// @return why the request is quarantined, or nothing if it is not.
+  /// @return details of the quarantine, or nothing if the request is not quarantined.
   std::optional<QuarantineVerdict> check(const RequestFingerprint& request, TimePoint now) const;
-  /// @return whether any request may be quarantined: if not, none needs a fingerprint.
+  /// @return whether there is no evidence at all, so that no request needs a fingerprint.
   bool empty() const { return entries_.empty(); }
-  /// @return what the other nodes should know of a request.
+  /// @return the evidence and clearance of a request, to send to other nodes.
   CrashReport report(const RequestFingerprint& request) const;
-  /// @return requests whose state other nodes have to know: quarantined or cleared.
+  /// @return quarantined and cleared requests, whose state must reach the other nodes.
   std::vector<RequestFingerprint> decided(TimePoint now) const;
-  /// @return requests that are quarantined.
+  /// @return number of quarantined requests.
   std::size_t quarantined(TimePoint now) const;
-  /// @return requests of which anything is known.
+  /// @return number of requests with evidence or a clearance.
   std::size_t size() const { return entries_.size(); }
-  /// Forgets what is too old; call it now and then.
+  /// Drops expired evidence and clearances; to be called periodically.
   void forget_old(TimePoint now);
 
  private:
   struct Entry {
-    std::map<std::uint64_t, TimePoint> crashes;  ///< By replica.
+    std::map<std::uint64_t, TimePoint> crashes;  ///< End times by replica incarnation.
     bool batch = false;
-    std::set<std::uint64_t> attributed_elsewhere;  ///< Of `ends`.
+    std::set<std::uint64_t> attributed_elsewhere;  ///< Subset of `crashes`.
     std::optional<TimePoint> cleared_at;
   };
 
   bool is_expired(TimePoint time, TimePoint now) const { return now - time > knobs_.crash_memory; }
-  /// @return times of the ends that count against the request, the newest first.
+  /// @return times of the crashes that count against the request, newest first.
   std::vector<TimePoint> attributed_crash_times(const Entry& entry, TimePoint now) const;
   bool is_quarantined(const Entry& entry, TimePoint now) const;
-  /// Decides anew which ends count against which request.
+  /// Recomputes which crashes count against which request.
   void attribute_crashes();
-  /// Makes room for one more request: drops the one with the fewest ends, the oldest of those.
+  /// Evicts the request with the fewest crashes, and of those the one that changed least recently.
   void evict_one();
 
   const Knobs& knobs_;
--- a/include/dockpoint/admission/retry_budget.hpp
+++ b/include/dockpoint/admission/retry_budget.hpp
@@ -4,18 +4,19 @@
 
 namespace dockpoint {
 
-/// Limits retries to a share of recent successes, so that they cannot multiply an overload.
+/// Limits retries to a percentage of recent successes, so that they cannot amplify an overload.
 class RetryBudget {
  public:
   explicit RetryBudget(const Knobs& knobs)
       : limit_(knobs.retry_budget_limit), balance_(knobs.retry_budget_reserve) {}
 
-  /// @param percent retries allowed for 100 successes.
+  /// @param percent retries allowed per 100 successes.
   void set_percent(int percent) { percent_ = percent; }
 
   void record_success();
 
-  /// @return whether a retry is allowed; if so it is counted.
+  /// Spends one retry from the budget.
+  /// @return whether the budget allowed it.
   bool try_spend();
 
   double balance() const { return balance_; }
--- a/src/admission/caller_identity.cpp
+++ b/src/admission/caller_identity.cpp
@@ -14,7 +14,7 @@
   }
   const Tenant* tenant = tenants.find_by_key(credential.key);
   if (tenant == nullptr) {
-    // Without a key no version can help.
+    // A request without a key is refused under any version of the configuration.
     const bool certain = freshness.following || credential.key.empty();
     return {certain ? CallerVerdict::kUnknownKey : CallerVerdict::kUnsure, nullptr};
   }
--- a/src/admission/crash_evidence.cpp
+++ b/src/admission/crash_evidence.cpp
@@ -7,7 +7,8 @@
 namespace dockpoint {
 namespace {
 
-/// First byte of a report; in MessagePack a message between nodes never begins with it.
+/// First byte of a report. It is the MessagePack tag of a byte string, with which no other message
+/// between nodes begins.
 constexpr char kCrashReportTag = '\xc4';
 
 struct EvidenceWire {
@@ -33,7 +34,7 @@
   DOCKPOINT_FIELDS(evidence, clearances, reply_requested)
 };
 
-/// @return when something happened that is so old; an age below zero cannot be meant.
+/// @return the local time of an event with the given age; negative ages count as zero.
 TimePoint time_from_age(std::int64_t age_ms, TimePoint now) {
   return now - std::chrono::milliseconds(std::max<std::int64_t>(age_ms, 0));
 }
--- a/src/admission/request_fingerprint.cpp
+++ b/src/admission/request_fingerprint.cpp
@@ -6,7 +6,7 @@
 namespace dockpoint {
 
 RequestFingerprint fingerprint_of(const RequestContent& content) {
-  // A digest of each part: no part can be mistaken for the end of the one before it.
+  // Hashes each part separately, so that moving bytes between adjacent parts changes the result.
   std::string digests;
   for (const std::string_view part :
        {content.method, content.host, content.target, content.tenant, content.body}) {
--- a/src/admission/request_quarantine.cpp
+++ b/src/admission/request_quarantine.cpp
@@ -8,7 +8,8 @@
 namespace dockpoint {
 namespace {
 
-/// Ages in reports do not count the time on the way: what happened looks later by so much at most.
+/// Ages in reports exclude the transmission delay, so a relayed event appears later by up to this
+/// much.
 constexpr Duration kMaxReportDelay = std::chrono::seconds(2);
 
 }  // namespace
--- a/src/admission/tenant_shares.cpp
+++ b/src/admission/tenant_shares.cpp
@@ -21,7 +21,8 @@
 
 void TenantShares::deactivate(const std::string& tenant) {
   const auto found = finish_.find(tenant);
-  // A tenant ahead of the others keeps its debt, or it could shed it by pausing.
+  // A tenant ahead of the current virtual time keeps its entry; otherwise it could reset its debt
+  // by pausing.
   if (found != finish_.end() && found->second <= current_) {
     finish_.erase(found);
   }
