--- a/include/dockpoint/admission/fair_queue.hpp
+++ b/include/dockpoint/admission/fair_queue.hpp
@@ -24,8 +24,9 @@
 
 /// Bounded queue, fair across tenants and first in, first out per tenant.
 ///
-/// When the queue is full, a tenant with a shorter queue is still accepted: it displaces the newest
-/// request of the tenant with the longest queue, so one tenant cannot starve the others.
+/// When the queue is full, a tenant whose own queue is shorter than the longest one by at least two
+/// is still accepted: it displaces the newest request of the tenant with the longest queue, so one
+/// tenant cannot starve the others.
 class FairQueue {
  public:
   /// Result of `push`.
@@ -50,7 +51,8 @@
   std::size_t size() const { return size_; }
 
   /// @return estimated number of requests served before a new one of `tenant`, assuming equal
-  /// weights: at most one request per tenant for each of the tenant's own requests.
+  /// weights: one turn of every queued tenant for each request of `tenant`, including the new
+  /// one, and no more than the size of the queue.
   std::size_t ahead_of(const std::string& tenant) const;
 
  private:
--- a/include/dockpoint/admission/request_quarantine.hpp
+++ b/include/dockpoint/admission/request_quarantine.hpp
@@ -82,7 +82,8 @@
   bool is_quarantined(const Entry& entry, TimePoint now) const;
   /// Recomputes which crashes count against which request.
   void attribute_crashes();
-  /// Evicts the request with the fewest crashes, and of those the one that changed least recently.
+  /// Evicts the request with the fewest crashes (counted up to the quarantine limit); among equals
+  /// the one with the oldest newest event.
   void evict_one();
 
   const Knobs& knobs_;
--- a/include/dockpoint/admission/tenant_rate_limiter.hpp
+++ b/include/dockpoint/admission/tenant_rate_limiter.hpp
@@ -12,185 +12,196 @@
 #include "dockpoint/core/knobs.hpp"
 #include "dockpoint/core/time.hpp"
 
-/// The rate limits of tenants, counted over all nodes without a central counter.
+/// Distributed rate limiting of tenants, without a central counter.
 ///
-/// Load pattern: one tenant sends many times its usual from one moment to the next, to all nodes at
-/// once or to a few. It must neither get through above its limit nor take the slots of others; a
-/// tenant below its limit must not be refused, however its requests fall on the nodes.
+/// Load pattern: a tenant suddenly sends many times its usual traffic, to all nodes or to a few. It
+/// must neither exceed its limit nor take the slots of other tenants. A tenant below its limit must
+/// not be refused, however its requests are distributed over the nodes.
 ///
-/// Every node keeps a token bucket for each tenant in use, filled at the tenant's rate, and takes
-/// out what it admits itself and what the other nodes say in their load digests that they have
-/// admitted. So the buckets agree but for what was admitted since the last digests. That much a
-/// node can overspend; two bounds keep it small:
+/// Every node keeps a token bucket for each active tenant, refilled at the tenant's rate. It
+/// deducts the requests that it admits itself and those that the other nodes report in their load
+/// digests. The buckets of all nodes therefore differ only by the requests admitted since the last
+/// digests. Nodes can overspend by that amount; two bounds keep it small:
 ///
-/// - Until the others know, a node admits no more than its share of the tokens and of a part of the
-///   window's tolerance, and about the square root of that beyond it. Its share is computed from
-///   requests that the others know of, so that the shares of all nodes add up to one even while a
-///   burst begins. Overspending becomes a debt; while it is small, the nodes together admit a
-///   little less than the rate.
-/// - A node that does not hear others has only its part of the limit: nodes that hear each other
-///   share `heard / known` of it. Parts of a fleet that is cut apart add up to the limit, whatever
-///   they admit. The number of known nodes only shrinks while most of them are heard.
+/// - Until its spending has been reported, a node admits at most its share of the tokens and of a
+///   fraction of the window's tolerance, plus about the square root of that. The share is computed
+///   from requests that have been reported already, so that the shares of all nodes add up to one
+///   even while a burst begins. Overspending becomes a debt; while the debt is small, the nodes
+///   together admit slightly less than the rate.
+/// - A node that does not hear all others has only a fraction of the limit: nodes that hear each
+///   other share `heard / known` of it. The partitions of a split fleet add up to the limit,
+///   whatever each of them admits. The number of known nodes shrinks only while a majority is
+///   heard.
 ///
-/// A node that starts knows nothing of what was spent: its buckets begin with a part of the
-/// tolerance in place of the burst, shared with the nodes that it hears, and until it knows how
-/// many others there are it reckons with a large fleet. A restart of all nodes therefore grants no
-/// second burst. A node that stood still begins with empty buckets.
+/// A node that starts does not know what was spent before. Its buckets start with a fraction of the
+/// tolerance instead of the burst, shared with the nodes that it hears, and it assumes a large
+/// fleet until it knows how many other nodes there are. A restart of all nodes therefore grants no
+/// second burst. A process that was suspended resumes with empty buckets.
 namespace dockpoint {
 
-/// How exactly the limits are to be kept.
+/// Window over which the limits are enforced, and the tolerance within it.
 struct RateWindow {
-  Duration length = std::chrono::seconds(5);  ///< Over which requests are counted.
-  double overage = 0;                         ///< Share of the limit that may be exceeded,
-  double slack = 0;                           ///< and requests on top of it.
+  Duration length = std::chrono::seconds(5);  ///< Length of the sliding window.
+  double overage = 0;                         ///< Fraction by which the limit may be exceeded.
+  double slack = 0;                           ///< Requests allowed in addition to `overage`.
 };
 
-/// @return the number that stands for a tenant between nodes. Two of 11,000 tenants share one in
-/// 1.4% of fleets; they then share the stricter account of both.
+/// @return the key that identifies a tenant in messages between nodes. With 11,000 tenants, two
+/// collide in 1.4% of fleets; they then share one account under the stricter limit.
 std::uint32_t tenant_key(std::string_view name);
 
-/// What one node has admitted of a tenant.
+/// Requests of a tenant that one node has admitted.
 struct TenantSpend {
   std::uint32_t tenant = 0;  ///< See `tenant_key`.
-  std::uint32_t total = 0;   ///< Since the node's start; wraps around.
-  std::uint32_t recent = 0;  ///< Of these, within `Knobs::rate_report_time`.
+  std::uint32_t total = 0;   ///< Since the start of the process; wraps around.
+  std::uint32_t recent = 0;  ///< Admitted within `Knobs::rate_report_time`.
   friend bool operator==(const TenantSpend&, const TenantSpend&) = default;
 };
 
-/// What one node tells the others.
+/// Report of one node's spending to the other nodes, sent in its load digest.
 struct SpendReport {
-  std::uint32_t run = 0;          ///< Tells the lives of the process apart.
-  std::uint32_t number = 0;       ///< Counts the reports of a life, from 1 on; wraps around.
-  std::uint32_t known_nodes = 0;  ///< Nodes that it reckons with, itself included.
+  std::uint32_t run = 0;          ///< Identifies the run of the process.
+  std::uint32_t number = 0;       ///< Sequence number within the run, from 1; wraps around.
+  std::uint32_t known_nodes = 0;  ///< Assumed fleet size, including the sender.
   std::vector<TenantSpend> spends;
 };
 
 /// Why a request is refused.
 enum class RateRefusal : std::uint8_t {
   kNone,
-  kOverLimit,  ///< The bucket that all nodes share is empty.
-  kNodeShare,  ///< This node has used its share of the tokens, and the others do not know yet.
-  kCutOff,     ///< Too few nodes are heard, so that the node has only a part of the limit.
-  kStarting,   ///< The node's buckets were empty or nearly so a moment ago, by its start.
+  kOverLimit,  ///< The shared bucket is empty.
+  kNodeShare,  ///< This node has used its share, and its spending is not yet reported.
+  kCutOff,     ///< Too few nodes are heard, so the node has only a fraction of the limit.
+  kStarting,   ///< The node started or resumed recently, with (nearly) empty buckets.
 };
 
-/// @return the name of a reason in logs and metrics.
+/// @return the name of the reason in logs and metrics.
 const char* to_string(RateRefusal refusal);
 
 /// The decision on one request.
 struct RateVerdict {
   bool admitted = true;
-  Duration retry_after{};  ///< If it is refused: until a token is there.
-  double tokens = 0;       ///< In the bucket, before the request; below 0 if nodes overspent.
-  std::size_t heard = 1;   ///< Nodes that share the bucket,
-  std::size_t known = 1;   ///< of so many.
+  Duration retry_after{};  ///< If refused: time until a token is available.
+  double tokens = 0;       ///< In the bucket before the request; negative if nodes overspent.
+  std::size_t heard = 1;   ///< Nodes that share the bucket, including this one.
+  std::size_t known = 1;   ///< Nodes in the fleet, as assumed by this node.
   RateRefusal refusal = RateRefusal::kNone;
-  double share = 0;  ///< Requests that the node may admit before the others know of them.
+  double share = 0;  ///< Requests that the node may admit before they are reported.
 };
 
-/// See the top of this file. Free of I/O and clocks; not thread-safe.
+/// See the file comment. Performs no I/O and reads no clock; not thread-safe.
 class TenantRateLimiter {
  public:
-  /// @param run tells the lives of this process apart.
+  /// @param run identifies this run of the process.
   TenantRateLimiter(const Knobs& knobs, const RateWindow& window, std::uint32_t run);
 
-  /// @param expected whether the settings name other nodes. Then a node that has heard none since
-  /// its start takes itself for cut off from a large fleet, not for alone.
+  /// @param expected whether the settings name other nodes. If so, a node that has heard none since
+  /// its start assumes that it is cut off from a large fleet, rather than alone.
   void expect_others(bool expected) { others_expected_ = expected; }
 
-  /// Takes the limits of a configuration. Tenants that have none cost nothing.
+  /// Applies the limits of a configuration. Tenants without a limit are not tracked.
   void set_limits(const TenantDirectory& tenants);
 
-  /// Decides on a request of a tenant, and counts it if it is admitted.
+  /// Decides on a request of a tenant and deducts a token if it is admitted.
   RateVerdict admit(const Tenant& tenant, TimePoint now);
-  /// A request that was admitted has certainly not run.
+  /// Returns the token of an admitted request that certainly has not run.
   void refund(const Tenant& tenant, TimePoint now);
 
-  /// @return what the other nodes should know now.
+  /// @return the next spend report to the other nodes.
   SpendReport report(TimePoint now);
-  /// Takes what another node tells.
+  /// Deducts the requests that another node has admitted since its previous report. Duplicates and
+  /// reordered reports are ignored.
   void merge_report(std::uint32_t node, const SpendReport& report, TimePoint now);
-  /// Another node gave a sign of life.
+  /// Records that another node was heard.
   void record_heartbeat(std::uint32_t node, TimePoint now);
-  /// Forgets what no longer matters; call it several times a second.
+  /// Refills buckets, recounts nodes and drops expired state; to be called several times a second.
   void tick(TimePoint now);
 
-  /// @return whether any tenant has a limit, so that all nodes need to know what each admits.
+  /// @return whether any tenant has a limit, so that nodes must report their spending.
   bool limits_any() const { return !limits_.empty(); }
-  /// @return tenants with an account at this node.
+  /// @return number of tenants with an account on this node.
   std::size_t accounts() const { return accounts_.size(); }
 
  private:
-  /// One tenant's bucket as this node reckons it.
+  /// This node's view of one tenant's bucket.
   struct Account {
     double tokens = 0;
     TimePoint filled_at{};
-    DecayingCount own;  ///< Admitted here lately, as far as the others know: a sudden rise must not
-                        ///< make each node take its own part for the largest.
-    DecayingCount of_peers;  ///< Admitted by the others lately.
-    std::uint32_t total = 0;
-    std::deque<TimePoint> recent;  ///< When requests were admitted here.
-    std::size_t unreported = 0;    ///< Of these, the newest, which the others do not know of yet.
+    DecayingCount own;  ///< Recently admitted here and reported. Unreported requests are excluded,
+                        ///< or in a sudden burst every node would overestimate its own share.
+    DecayingCount of_peers;        ///< Recently admitted by other nodes.
+    std::uint32_t total = 0;       ///< Requests admitted here; wraps around.
+    std::deque<TimePoint> recent;  ///< Times of recent admissions here.
+    std::size_t unreported = 0;    ///< The newest of `recent`, not yet known to the other nodes.
     TimePoint changed_at{};        ///< Last change of `total`.
-    double debt_credit = 0;        ///< Requests that it may admit while the bucket is in debt.
-    double first_debt_credit = 0;  ///< Where `debt_credit` begins, below 1: differs by node, so
-                                   ///< that they do not admit at once.
-    double start_fraction_granted = 0;  ///< Of the tokens that all nodes together begin with.
+    double debt_credit = 0;        ///< Requests that may be admitted while in debt.
+    double first_debt_credit = 0;  ///< Initial `debt_credit`, below 1. Differs by node, so that
+                                   ///< nodes do not admit simultaneously.
+    double start_fraction_granted = 0;  ///< Fraction of the fleet's start tokens granted here.
   };
-  /// What another node has told of a tenant before.
+  /// The last total that another node reported for a tenant.
   struct ReportedSpend {
     std::uint32_t total = 0;
     TimePoint at{};
   };
   struct Peer {
     std::uint32_t run = 0;
-    std::uint32_t number = 0;  ///< Of its newest report.
+    std::uint32_t number = 0;  ///< Sequence number of its newest report.
     TimePoint heard{};
     std::unordered_map<std::uint32_t, ReportedSpend> reported;  ///< By tenant.
   };
 
+  /// @return the tenant's account, refilled up to `now`; created if it does not exist.
   Account& account_of(std::uint32_t tenant, const RateLimit& limit, TimePoint now);
+  /// Adds the tokens gained since the last refill.
   void fill(Account& account, const RateLimit& limit, TimePoint now) const;
-  /// Lets the node admit a little less than its share of the rate while the bucket is in debt.
+  /// Accrues the credit that lets the node admit slightly less than its share of the rate while the
+  /// bucket is in debt.
+  /// @param time seconds since the last call.
   void pace_debt(Account& account, const RateLimit& limit, double time, TimePoint now) const;
-  /// Takes requests that another node has admitted out of a bucket; negative if it gave some back.
+  /// Deducts requests that another node has admitted; `requests` is negative after refunds.
   void charge(Account& account, const RateLimit& limit, double requests, TimePoint now) const;
-  /// @return most tokens in the bucket that this node shares with those it hears.
+  /// @return maximum number of tokens in the bucket shared with the nodes that are heard.
   double capacity(const RateLimit& limit) const;
-  /// @return requests that this node may admit before the others know of them.
+  /// @return requests that this node may admit before they are reported.
   double allowance(const Account& account, const RateLimit& limit, TimePoint now) const;
-  /// @return this node's share of the tenant's requests lately; those of all nodes make one.
+  /// @return this node's share of the tenant's recent requests; the shares of all nodes add up to
+  /// one.
   double share_of(const Account& account, TimePoint now) const;
-  /// Counts requests among `Account::own` that the others know of by now.
+  /// Moves requests that the other nodes know by now from `unreported` to `Account::own`.
   void count_reported(Account& account, TimePoint now) const;
-  /// @return whether the node has used its share.
-  /// @param allowed as of `allowance`.
+  /// @return whether one more request would exceed the node's share.
+  /// @param allowed the result of `allowance`.
   bool exceeds_allowance(const Account& account, const RateLimit& limit, double allowed) const;
-  /// @return requests in a window by which the limit may be exceeded.
+  /// @return requests by which the limit may be exceeded within one window.
   double tolerance(const RateLimit& limit) const;
+  /// @return the cause of a refusal.
   RateRefusal reason(const Account& account, TimePoint now) const;
-  /// @return part of the limit that the nodes which hear each other share.
+  /// @return fraction of the limit that this node shares with the nodes it hears.
   double limit_fraction() const;
+  /// Recomputes `heard_` and `known_`.
   void count_nodes(TimePoint now);
-  /// Empties all buckets: while this process stood still, others have spent what it does not know
-  /// of.
+  /// Empties all buckets after this process was suspended, since it has missed what other nodes
+  /// spent meanwhile.
   void reset_after_pause(TimePoint now);
+  /// Drops admissions older than `Knobs::rate_report_time` from `Account::recent`.
   void expire_recent(Account& account, TimePoint now) const;
 
   const Knobs& knobs_;
   const RateWindow window_;
   const std::uint32_t run_;
   TimePoint started_{};
-  TimePoint buckets_empty_at_{};  ///< Buckets without an account were empty then.
+  TimePoint buckets_empty_at_{};  ///< Time from which new buckets are refilled: start or resume.
   TimePoint last_tick_{};
-  std::unordered_map<std::uint32_t, RateLimit> limits_;  ///< Of tenants that have one.
+  std::unordered_map<std::uint32_t, RateLimit> limits_;  ///< By tenant key.
   std::unordered_map<std::uint32_t, Account> accounts_;
   std::unordered_map<std::uint32_t, Peer> peers_;
   bool others_expected_ = false;
   std::uint32_t reports_ = 0;
-  std::size_t heard_ = 1;
-  std::size_t known_ = 1;
-  std::size_t reported_nodes_ = 0;  ///< By nodes that have run for longer, while this one starts.
+  std::size_t heard_ = 1;  ///< Nodes heard recently, including this one.
+  std::size_t known_ = 1;  ///< Assumed fleet size, including this node.
+  std::size_t reported_nodes_ =
+      0;  ///< Largest fleet size reported by a peer; used after the start.
 };
 
 }  // namespace dockpoint
--- a/src/admission/tenant_rate_limiter.cpp
+++ b/src/admission/tenant_rate_limiter.cpp
@@ -10,64 +10,64 @@
 namespace dockpoint {
 namespace {
 
-/// Over which a node's share of a tenant's requests is taken.
+/// Decay time of the counts from which a node's share of a tenant's requests is computed.
 constexpr Duration kShareDecayTime = std::chrono::seconds(2);
 
-/// Requests that weigh as much as an even share does in that.
+/// Weight of the even share `1 / heard` in that computation, in requests.
 constexpr double kEvenShareWeight = 2;
 
-/// Part of the tolerance of the window that is granted as a larger burst, so that small differences
-/// between the nodes' buckets refuse nobody below the limit. The rest is left for overspending.
+/// Fraction of the window's tolerance that enlarges the burst, so that small differences between
+/// the nodes' buckets cause no refusals below the limit. The rest is left for overspending.
 constexpr double kBurstFraction = 0.2;
 
-/// Part of the tolerance that all nodes together may spend beyond the tokens before they know of
-/// each other. Without it tokens are left standing while requests are refused.
+/// Fraction of the tolerance that all nodes together may spend beyond the tokens before they have
+/// heard each other's reports. Without it requests are refused while tokens remain unused.
 constexpr double kOverspendFraction = 0.4;
 
-/// Part of the tolerance that widens the bucket of a node that is cut off.
+/// Fraction of the tolerance that enlarges the bucket of a node that is cut off.
 constexpr double kCutOffFraction = 0.3;
 
-/// Part of the tolerance that all nodes together begin with after a restart of all: bounded by the
-/// window, whatever was spent before it.
+/// Fraction of the tolerance that all nodes together receive after a restart of the whole fleet. It
+/// keeps the window within its bound, whatever was spent before the restart.
 constexpr double kStartFraction = 0.3;
 
-/// Part of the tolerance that a debt is forgiven in one length of the window: what was overspent
-/// within the tolerance need not be refused afterwards.
+/// Fraction of the tolerance by which a debt is forgiven per window length: overspending within the
+/// tolerance need not be compensated by later refusals.
 constexpr double kForgivenFraction = 0.3;
 
-/// While a debt is within this part of the tolerance, the nodes together admit `kDebtPace` of the
-/// limit's rate; the rest pays the debt. Without it all refuse everything for as long as the debt
-/// lasts, and then all admit at once.
+/// While the debt is within `kPacedDebtFraction` of the tolerance, the nodes together admit
+/// `kDebtPace` of the limit's rate; the rest pays off the debt. Without pacing all nodes refuse
+/// every request until the debt is paid, and then all admit simultaneously.
 constexpr double kPacedDebtFraction = 0.5;
 constexpr double kDebtPace = 0.9;
 
-/// Most requests that a node saves up at that pace.
+/// Maximum credit, in requests, that a node accumulates at that pace.
 constexpr double kMaxDebtCredit = 1.5;
 
-/// Requests that a node may admit in any case before the others know: from a bucket that is more
-/// than half full, and from any other.
+/// Minimum number of requests that a node may admit before reporting them, from a bucket that is
+/// more than half full and from any other.
 constexpr double kMinAllowanceFromFull = 3;
 constexpr double kMinAllowance = 1;
 
-/// Requests are whole and shares are not: a request is admitted if half of it is within the share.
+/// Rounds fractional shares: a request is admitted if at least half of it is within the share.
 constexpr double kRounding = 0.5;
 
-/// What other nodes told of a tenant is forgotten after this time; a new report says by itself what
-/// was admitted lately.
+/// How long the last reported total of a peer is kept. A report after that is charged by its
+/// `TenantSpend::recent`.
 constexpr Duration kReportedSpendRetention = std::chrono::seconds(5);
 
-/// An account that nobody has used for so long is dropped. Longer than `kToldMemory`: its count
-/// begins anew, and the others must have forgotten the old one.
+/// Idle time after which an account is dropped. Exceeds `kReportedSpendRetention`, because a new
+/// account counts from zero and the other nodes must have dropped the old total by then.
 constexpr Duration kIdleAccountRetention = std::chrono::seconds(12);
 
-/// A node that has just started reckons with as many nodes as others tell it for so long; then it
-/// has heard them itself.
+/// For this long after its start a node uses the fleet size that its peers report; by then it has
+/// heard them all itself.
 constexpr Duration kReportedNodesTime = std::chrono::seconds(5);
 
-/// A node that hears a smaller part of the nodes is reported as cut off.
+/// Refusals at a node that hears a smaller fraction of the fleet are attributed to being cut off.
 constexpr double kCutOffThreshold = 0.9;
 
-/// Refusals are put down to the node's start for so long after it.
+/// For this long after a start or resume, refusals are attributed to the start.
 constexpr Duration kStartRefusalTime = std::chrono::seconds(3);
 
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(50);
@@ -111,7 +111,7 @@
     }
   }
   std::erase_if(accounts_, [&](const auto& entry) { return !limits_.contains(entry.first); });
-  // A limit that comes back counts from zero at all nodes.
+  // A limit that is removed and added again is counted from zero on all nodes.
   for (auto& [node, peer] : peers_) {
     std::erase_if(peer.reported, [&](const auto& entry) { return !limits_.contains(entry.first); });
   }
@@ -122,8 +122,8 @@
 }
 
 double TenantRateLimiter::capacity(const RateLimit& limit) const {
-  // A node that is cut off shares with nobody, and so cannot overspend: that part of the tolerance
-  // widens its bucket.
+  // An isolated node shares its bucket with no other and so cannot overspend; that fraction of the
+  // tolerance enlarges its bucket instead.
   const bool cut_off = heard_ == 1 && known_ > 1;
   const double tolerance_fraction = kBurstFraction + (cut_off ? kCutOffFraction : 0);
   const double widened = tolerance_fraction * tolerance(limit);
@@ -160,8 +160,8 @@
         kForgivenFraction * tolerance(limit) * limit_fraction() / seconds_of(window_.length);
     account.tokens = std::min(0.0, account.tokens + forgiven_per_second * time);
   }
-  // As more nodes are heard after a start or a cut, more of what all may begin with is shared. What
-  // was granted may be granted again only as the window passes.
+  // The more nodes are heard after a start or a partition, the more of the fleet's start tokens are
+  // shared. A granted fraction becomes available again only as the window passes.
   if (account.start_fraction_granted > limit_fraction()) {
     account.start_fraction_granted = std::max(
         limit_fraction(), account.start_fraction_granted - time / seconds_of(window_.length));
@@ -204,14 +204,15 @@
   const double available = account.tokens + static_cast<double>(account.unreported);
   const double even = 1.0 / static_cast<double>(heard_);
   const double share = share_of(account, now);
-  // The shares of all nodes add up to one, and so do their parts of the overspend.
+  // The shares of all nodes add up to one, so the allowed overspend is not exceeded in total.
   const double overspend = kOverspendFraction * tolerance(limit) * limit_fraction();
   return std::max(share, even) * available + share * overspend;
 }
 
 bool TenantRateLimiter::exceeds_allowance(const Account& account, const RateLimit& limit,
                                           double allowed) const {
-  // Arrivals are random: one standard deviation above the share, the square root, is allowed.
+  // Arrivals are random (Poisson): one standard deviation above the share is allowed, which is its
+  // square root.
   const double share = std::max(0.0, allowed);
   const double most = share + std::max(kMinAllowance, std::sqrt(share));
   const double least = account.tokens > capacity(limit) / 2 ? kMinAllowanceFromFull : kMinAllowance;
@@ -302,7 +303,7 @@
     peer.run = report.run;
     peer.reported.clear();
   } else if (static_cast<std::int32_t>(report.number - peer.number) <= 0) {
-    return;  // It came by another way before, or a later one has.
+    return;  // Duplicate, or overtaken by a newer report.
   }
   peer.number = report.number;
   reported_nodes_ = std::max<std::size_t>(reported_nodes_, report.known_nodes);
@@ -313,7 +314,7 @@
     }
     const auto [reported, added] = peer.reported.try_emplace(spend.tenant);
     const bool first = added || now - reported->second.at > kReportedSpendRetention;
-    // Totals wrap around, and shrink when requests are given back.
+    // Totals wrap around, and shrink after refunds.
     const auto since_reported = static_cast<std::int32_t>(spend.total - reported->second.total);
     const double newly_admitted = first ? static_cast<double>(spend.recent) : since_reported;
     reported->second = {spend.total, now};
