--- a/include/dockpoint/admission/tenant_rate_limiter.hpp
+++ b/include/dockpoint/admission/tenant_rate_limiter.hpp
@@ -47,7 +47,7 @@
 };
 
 /// @return the key that identifies a tenant in messages between nodes. With 11,000 tenants, two
-/// collide in 1.4% of fleets; they then share one account under the stricter limit.
+/// collide in 1.4% of fleets; they then share one account and are limited more strictly.
 std::uint32_t tenant_key(std::string_view name);
 
 /// Requests of a tenant that one node has admitted.
--- a/tests/admission/caller_identity_test.cpp
+++ b/tests/admission/caller_identity_test.cpp
@@ -24,23 +24,23 @@
 
 BOOST_FIXTURE_TEST_SUITE(caller_identity, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_key_stands_for_its_tenant) {
+BOOST_AUTO_TEST_CASE(a_known_key_identifies_its_tenant) {
   const CallerIdentity caller = identify({1, "key"}, kFollowing);
   BOOST_TEST((caller.verdict == CallerVerdict::kTenant));
   BOOST_TEST(caller.tenant->name == "clinic");
 }
 
-BOOST_AUTO_TEST_CASE(no_key_is_needed_on_public_routes_and_without_tenants) {
+BOOST_AUTO_TEST_CASE(public_routes_and_fleets_without_tenants_require_no_key) {
   BOOST_TEST((identify({0, ""}, kFollowing, false).verdict == CallerVerdict::kNoTenant));
   BOOST_TEST((identify({2, "x"}, kFollowing, false).verdict == CallerVerdict::kNoTenant));
   tenants = {};
   BOOST_TEST((identify({0, ""}, kFollowing).verdict == CallerVerdict::kNoTenant));
 }
 
-BOOST_AUTO_TEST_CASE(an_unknown_key_is_final_only_where_the_configuration_is_known_to_be_fresh) {
+BOOST_AUTO_TEST_CASE(an_unknown_key_is_refused_only_if_the_configuration_is_current) {
   BOOST_TEST((identify({1, "other"}, kFollowing).verdict == CallerVerdict::kUnknownKey));
   BOOST_TEST((identify({1, "other"}, kCutOff).verdict == CallerVerdict::kUnsure));
-  // No version helps a caller without a key.
+  // A missing key is refused under any version of the configuration.
   BOOST_TEST((identify({0, ""}, kCutOff).verdict == CallerVerdict::kUnknownKey));
   BOOST_TEST((identify({1, ""}, kCutOff).verdict == CallerVerdict::kUnknownKey));
 }
@@ -49,7 +49,7 @@
   BOOST_TEST((identify({2, "key"}, kFollowing).verdict == CallerVerdict::kMalformed));
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_is_cut_off_honours_keys_unless_revocation_is_strict) {
+BOOST_AUTO_TEST_CASE(a_node_cut_off_from_the_log_accepts_known_keys_unless_revocation_is_strict) {
   BOOST_TEST((identify({1, "key"}, kCutOff).verdict == CallerVerdict::kTenant));
   policy = {true, 5s};
   BOOST_TEST((identify({1, "key"}, kCutOff).verdict == CallerVerdict::kUnsure));
--- a/tests/admission/fair_queue_test.cpp
+++ b/tests/admission/fair_queue_test.cpp
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_SUITE(fair_queue)
 
-BOOST_AUTO_TEST_CASE(tenants_alternate_whatever_their_load) {
+BOOST_AUTO_TEST_CASE(tenants_are_served_in_turn_regardless_of_queue_length) {
   FairQueue queue;
   for (std::uint64_t id = 0; id < 90; ++id) {
     queue.push(request(id, "greedy"), 1000);
@@ -38,7 +38,7 @@
   BOOST_TEST(served["modest"] == 10);
 }
 
-BOOST_AUTO_TEST_CASE(weights_and_costs_count) {
+BOOST_AUTO_TEST_CASE(service_is_proportional_to_weight) {
   FairQueue queue;
   for (std::uint64_t id = 0; id < 100; ++id) {
     queue.push(request(id, "heavy", 3), 1000);
@@ -52,7 +52,7 @@
   BOOST_TEST(served["light"] == 20);
 }
 
-BOOST_AUTO_TEST_CASE(a_full_queue_still_takes_a_tenant_below_its_share) {
+BOOST_AUTO_TEST_CASE(a_full_queue_accepts_a_tenant_below_its_share_by_displacing_a_request) {
   FairQueue queue;
   for (std::uint64_t id = 0; id < 10; ++id) {
     BOOST_TEST(queue.push(request(id, "greedy"), 10).accepted);
@@ -64,7 +64,7 @@
   BOOST_TEST(queue.size() == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(an_idle_tenant_saves_up_nothing) {
+BOOST_AUTO_TEST_CASE(an_idle_tenant_accumulates_no_credit) {
   FairQueue queue;
   for (std::uint64_t id = 0; id < 100; ++id) {
     queue.push(request(id, "steady"), 1000);
@@ -83,7 +83,7 @@
   BOOST_TEST(late <= 11);
 }
 
-BOOST_AUTO_TEST_CASE(expires_and_removes) {
+BOOST_AUTO_TEST_CASE(requests_expire_and_can_be_removed) {
   FairQueue queue;
   QueuedRequest soon = request(1, "a");
   soon.deadline = at(10);
@@ -95,7 +95,7 @@
   BOOST_TEST(queue.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(retries_stay_within_their_share) {
+BOOST_AUTO_TEST_CASE(retries_stay_within_the_budget) {
   Knobs knobs;
   knobs.retry_budget_reserve = 2;
   RetryBudget budget(knobs);
--- a/tests/admission/quarantine_replay_test.cpp
+++ b/tests/admission/quarantine_replay_test.cpp
@@ -1,5 +1,5 @@
-/// The load that a quarantine meets: replicas that crash under some requests, others that crash for
-/// reasons of their own, and innocent requests on both.
+/// Simulates the load on the request quarantine: requests that crash replicas, replicas that crash
+/// for unrelated reasons, and innocent requests running on both.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -19,41 +19,42 @@
 constexpr int kSlots = 12;
 constexpr Duration kStep = std::chrono::milliseconds(10);
 constexpr Duration kSimulatedTime = std::chrono::seconds(90);
-constexpr Duration kRestartTime = std::chrono::seconds(4);  ///< Of a replica that crashed.
+constexpr Duration kRestartTime = std::chrono::seconds(4);  ///< Downtime of a crashed replica.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
-constexpr int kAttemptsPerRequest = 4;  ///< Two attempts of a caller, with two replicas each.
+constexpr int kAttemptsPerRequest = 4;  ///< Two attempts by the caller, on two replicas each.
 constexpr double kRequestsPerSecond = 60;
 constexpr Duration kMaxRunTime = std::chrono::milliseconds(1500);
-constexpr Duration kResendInterval = std::chrono::milliseconds(400);  ///< Of a crashing request.
-constexpr Duration kItemRunTime = std::chrono::seconds(4);  ///< Of an item, from its start.
+constexpr Duration kResendInterval =
+    std::chrono::milliseconds(400);  ///< Between sends of a crashing request.
+constexpr Duration kItemRunTime = std::chrono::seconds(4);  ///< Run time of a batch item.
 constexpr Duration kItemRetryInterval =
-    std::chrono::milliseconds(150);  ///< Until it is tried again.
+    std::chrono::milliseconds(150);  ///< Before an item that could not start is retried.
 constexpr int kAttemptsPerItem = 1'000;
 constexpr Duration kTimeToCrash = std::chrono::milliseconds(150);
 
 struct Load {
-  int crashing_requests = 0;  ///< That crash what runs them, and come again and again.
-  int failing_replicas = 0;   ///< That crash `crashes` times each for reasons of their own.
+  int crashing_requests = 0;  ///< Each crashes its replica and is resent repeatedly.
+  int failing_replicas = 0;   ///< Each crashes `crashes` times for unrelated reasons.
   int crashes = 3;
-  int items = 0;  ///< Of batch jobs, running all the time, each until it is done.
+  int items = 0;  ///< Batch items in progress at all times, each retried until it completes.
 };
 
 struct Outcome {
-  int innocent = 0;                 ///< Requests that crash nothing.
-  int innocent_quarantined = 0;     ///< Of those, kept from the replicas.
-  int items = 0;                    ///< Begun.
-  int items_quarantined = 0;        ///< Of those, kept from the replicas at the end of the day.
-  int crashes_of_requests = 0;      ///< Replicas that ended under crashing requests.
-  int max_crashes_after_limit = 0;  ///< Ends of one request after it was quarantined.
+  int innocent = 0;                 ///< Requests that crash no replica.
+  int innocent_quarantined = 0;     ///< Of these, refused by the quarantine.
+  int items = 0;                    ///< Batch items started.
+  int items_quarantined = 0;        ///< Of these, quarantined at the end of the run.
+  int crashes_of_requests = 0;      ///< Replicas crashed by crashing requests.
+  int max_crashes_after_limit = 0;  ///< Most crashes by one request beyond the limit.
 };
 
-/// How requests are judged.
+/// Parameters of the quarantine rule.
 struct Rule {
   std::size_t limit = 3;
   bool attribution = true;
 };
 
-/// One fleet whose nodes know everything at once: what remains is the rule itself.
+/// A fleet whose nodes share all evidence instantly, so that only the rule itself is tested.
 class Replay {
  public:
   Replay(const Load& load, const Rule& rule, std::uint64_t seed)
@@ -147,7 +148,7 @@
       if (run.item) {
         retries_.emplace(now_ + kItemRetryInterval, run);
       }
-      return;  // There is no room.
+      return;  // No replica has a free slot.
     }
     run.replica = least_loaded;
     run.until = now_ + (run.crashes ? kTimeToCrash
@@ -221,7 +222,7 @@
   std::map<RequestFingerprint, int> crashes_by_request_;
   std::uint64_t last_innocent_ = 0;
   std::uint64_t last_item_ = 0;
-  int items_running_ = 0;  ///< Or waiting to run again.
+  int items_running_ = 0;  ///< Including those waiting for a retry.
   Outcome outcome_;
 };
 
@@ -242,9 +243,9 @@
 
 std::string describe(const Outcome& outcome) {
   std::ostringstream text;
-  text << "requests held " << outcome.innocent_quarantined << " of " << outcome.innocent
-       << ", items held " << outcome.items_quarantined << " of " << outcome.items << ", crashes "
-       << outcome.crashes_of_requests << ", most after the limit "
+  text << "requests quarantined " << outcome.innocent_quarantined << " of " << outcome.innocent
+       << ", items quarantined " << outcome.items_quarantined << " of " << outcome.items
+       << ", crashes " << outcome.crashes_of_requests << ", max crashes after the limit "
        << outcome.max_crashes_after_limit;
   return text.str();
 }
@@ -253,27 +254,27 @@
 
 BOOST_AUTO_TEST_SUITE(quarantine_replay)
 
-BOOST_AUTO_TEST_CASE(a_third_of_the_replicas_that_crash_three_times_hold_no_innocent_request) {
+BOOST_AUTO_TEST_CASE(unrelated_crashes_of_a_third_of_the_replicas_quarantine_no_innocent_request) {
   const Outcome outcome = sum_of_seeds({0, kReplicas / 3, 3, 20}, {});
   BOOST_TEST_MESSAGE(describe(outcome));
   BOOST_TEST(outcome.innocent_quarantined == 0);
   BOOST_TEST(outcome.items_quarantined * 1'000 <= outcome.items);
 }
 
-BOOST_AUTO_TEST_CASE(requests_that_crash_replicas_hold_few_innocent_requests_and_items) {
+BOOST_AUTO_TEST_CASE(crashing_requests_rarely_cause_innocent_requests_and_items_to_be_quarantined) {
   const Load load{6, kReplicas / 3, 3, 20};
   for (const Rule& rule : {Rule{2, true}, Rule{3, false}}) {
     BOOST_TEST_MESSAGE("limit " << rule.limit << " attribution " << rule.attribution << ": "
                                 << describe(sum_of_seeds(load, rule)));
   }
   const Outcome outcome = sum_of_seeds(load, {});
-  BOOST_TEST_MESSAGE("as it stands: " << describe(outcome));
+  BOOST_TEST_MESSAGE("default rule: " << describe(outcome));
   BOOST_TEST(outcome.max_crashes_after_limit <= 3);
   BOOST_TEST(outcome.innocent_quarantined * 1'000 <= outcome.innocent);
   BOOST_TEST(outcome.items_quarantined * 1'000 <= outcome.items);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_quarantine_a_request_ends_replicas_for_as_long_as_it_comes) {
+BOOST_AUTO_TEST_CASE(without_a_quarantine_crashing_requests_keep_crashing_replicas) {
   const Outcome outcome = Replay({2, 0, 0, 0}, {1'000'000, false}, 1).run();
   BOOST_TEST(outcome.crashes_of_requests > 50);
 }
--- a/tests/admission/rate_limit_exploration_test.cpp
+++ b/tests/admission/rate_limit_exploration_test.cpp
@@ -10,11 +10,10 @@
 #include "dockpoint/admission/tenant_rate_limiter.hpp"
 #include "support/fleet.hpp"
 
-/// Fleets of nodes with rate limiters in simulated time, replayed from seeds: digests come late,
-/// get lost, and stay away; nodes are killed, start again, stand still and join; arrivals are
-/// spread evenly or come to one node; a tenant sends many times its limit. Two things are measured:
-/// the most requests in any window against what the window allows, and the requests refused that
-/// one central bucket would have admitted.
+/// Simulates fleets of rate limiters from seeds. Digests are delayed, lost or cut off; nodes are
+/// killed, restarted, paused and added; requests are spread evenly or all reach one node; a tenant
+/// sends many times its limit. Measured are the maximum number of requests in any window, relative
+/// to the number allowed, and the refused requests that one central bucket would have admitted.
 ///
 /// DOCKPOINT_RATE_SEEDS sets the number of seeds (default 20).
 using namespace dockpoint;
@@ -29,20 +28,20 @@
 struct Scenario {
   std::size_t nodes = 60;
   RateLimit limit{20, 20};
-  double demand = 0.6;      ///< Mean, in parts of the rate.
-  double burst_factor = 1;  ///< From `burst_from` on, for `burst_ms`.
+  double demand = 0.6;      ///< Mean request rate, as a fraction of the limit's rate.
+  double burst_factor = 1;  ///< Demand multiplier from `burst_from` on, for `burst_ms`.
   std::int64_t burst_from = 12'000;
   std::int64_t burst_ms = 6'500;
-  bool skewed = false;       ///< One node gets all requests.
-  double loss = 0.02;        ///< Of digests.
-  bool faults = false;       ///< Kills, cuts, pauses and joins at random.
+  bool skewed = false;       ///< One node receives all requests.
+  double loss = 0.02;        ///< Fraction of digests lost.
+  bool faults = false;       ///< Random kills, network cuts, pauses and joins.
   bool restart_all = false;  ///< At 14 s, in the middle of the burst.
   bool shared = true;        ///< See `Knobs::rate_shared`.
 };
 
 struct Outcome {
-  double worst_window = 0;   ///< Requests in the worst window, in parts of what it allows.
-  double refused_below = 0;  ///< Part of what a central bucket admits that was refused.
+  double worst_window = 0;   ///< Most requests in a window, relative to the number allowed.
+  double refused_below = 0;  ///< Fraction refused of the requests that a central bucket admits.
 };
 
 class Replay {
@@ -84,7 +83,7 @@
     std::int64_t up_at = 0;
     std::int64_t paused_until = 0;
     std::int64_t next_digest = 0;
-    int group = 0;  ///< Nodes hear those of their group.
+    int group = 0;  ///< Nodes hear only nodes of the same group.
     std::int64_t cut_until = 0;
   };
   struct Digest {
@@ -121,7 +120,7 @@
         nodes_[index].paused_until = now_ + static_cast<std::int64_t>(random_() % 4'000);
         break;
       case 2: {
-        // A sixth of the fleet hears nobody for a while.
+        // Up to a sixth of the nodes hear no others for 1 to 6 s.
         const std::int64_t until = now_ + 1'000 + static_cast<std::int64_t>(random_() % 5'000);
         for (std::size_t count = 0; count < nodes_.size() / 6; ++count) {
           Node& node = nodes_[random_() % nodes_.size()];
@@ -155,7 +154,7 @@
     }
     node.next_digest = now_ + kDigestMs;
     const auto report = std::make_shared<const SpendReport>(node.limiter->report(at(now_)));
-    // All receivers behind a relay get it, or none: losses come together.
+    // Digests are relayed, so a loss affects all receivers together.
     const bool lost = uniform() < scenario_.loss;
     for (std::size_t other = 0; other < nodes_.size() && !lost; ++other) {
       if (other != index && nodes_[other].group == node.group) {
@@ -195,7 +194,7 @@
       const std::size_t index = scenario_.skewed ? 0 : random_() % nodes_.size();
       Node& node = nodes_[index];
       if (!node.limiter || now_ < node.paused_until) {
-        continue;  // Nobody there: the caller goes elsewhere, later.
+        continue;  // Node down or paused: not counted, since the caller would retry elsewhere.
       }
       const bool admitted = node.limiter->admit(tenant(), at(now_)).admitted;
       if (admitted) {
@@ -255,7 +254,8 @@
   return text == nullptr ? kDefaultSeeds : std::strtoull(text, nullptr, 10);
 }
 
-/// Plays a world on all seeds. @return the worst window and the mean part refused.
+/// Runs one random scenario for each seed.
+/// @return the worst window and the mean fraction refused.
 Outcome run_seeds(const std::function<Scenario(std::mt19937_64&)>& draw) {
   Outcome all;
   const std::uint64_t count = seeds();
@@ -302,11 +302,11 @@
 
 BOOST_AUTO_TEST_SUITE(rate_limit_exploration)
 
-BOOST_AUTO_TEST_CASE(below_the_limit_hardly_anybody_is_refused) {
+BOOST_AUTO_TEST_CASE(below_the_limit_almost_no_request_is_refused) {
   BOOST_TEST(run_seeds(random_scenario).refused_below < 0.01);
 }
 
-BOOST_AUTO_TEST_CASE(below_the_limit_it_matters_little_if_one_node_gets_all_requests) {
+BOOST_AUTO_TEST_CASE(below_the_limit_few_are_refused_if_one_node_receives_all_requests) {
   const Outcome outcome = run_seeds([](std::mt19937_64& random) {
     Scenario scenario = random_scenario(random);
     scenario.skewed = true;
@@ -315,17 +315,17 @@
   BOOST_TEST(outcome.refused_below < 0.03);
 }
 
-BOOST_AUTO_TEST_CASE(a_tenant_that_sends_many_times_its_limit_is_held_to_it) {
+BOOST_AUTO_TEST_CASE(a_burst_above_the_limit_stays_within_every_window) {
   BOOST_TEST(run_seeds(random_scenario_with_burst).worst_window <= 1);
 }
 
-BOOST_AUTO_TEST_CASE(the_limit_holds_while_nodes_are_cut_off_killed_paused_and_added) {
+BOOST_AUTO_TEST_CASE(the_limit_is_kept_while_nodes_are_cut_off_killed_paused_and_added) {
   BOOST_TEST(run_seeds(random_scenario_with_faults).worst_window <= 1);
 }
 
-// Seeds on which windows of up to 1.17 were seen: a node that was killed while it was cut off
-// started again, heard nobody, and took itself for the only one.
-BOOST_AUTO_TEST_CASE(a_node_that_starts_while_it_is_cut_off_does_not_grant_the_whole_limit) {
+// Regression test: on these seeds windows reached up to 1.17 of the allowed requests. A node that
+// was killed while cut off restarted, heard no other node and assumed that it was the only one.
+BOOST_AUTO_TEST_CASE(a_node_that_starts_while_cut_off_does_not_grant_the_whole_limit) {
   for (const std::uint64_t seed : {238, 424, 491, 614, 638, 735, 764, 905, 974}) {
     std::mt19937_64 random(seed);
     const Scenario scenario = random_scenario_with_faults(random);
@@ -334,7 +334,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_restart_of_all_nodes_in_the_middle_grants_no_second_burst) {
+BOOST_AUTO_TEST_CASE(a_restart_of_all_nodes_during_a_burst_grants_no_second_burst) {
   const Outcome outcome = run_seeds([](std::mt19937_64& random) {
     Scenario scenario = random_scenario_with_burst(random);
     scenario.restart_all = true;
@@ -343,9 +343,10 @@
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
-// The other way: every node keeps an even part of the limit to itself and hears nobody. It keeps
-// the limit, but callers of a tenant come to a node by chance, in ones and twos.
-BOOST_AUTO_TEST_CASE(even_parts_without_the_others_word_refuse_far_more_below_the_limit) {
+// Alternative design for comparison: every node enforces an even fraction of the limit without
+// reports. This keeps the limit, but requests reach nodes at random, one or two at a time, so that
+// some nodes run out of tokens while others have some left.
+BOOST_AUTO_TEST_CASE(a_static_even_split_refuses_far_more_below_the_limit) {
   const auto evenly = [](std::mt19937_64& random) {
     Scenario scenario = random_scenario(random);
     scenario.shared = false;
--- a/tests/admission/rate_limit_fleet_replay_test.cpp
+++ b/tests/admission/rate_limit_fleet_replay_test.cpp
@@ -15,16 +15,16 @@
 #include "dockpoint/admission/tenant_rate_limiter.hpp"
 #include "support/fleet.hpp"
 
-/// Tenants of very different size at 73 nodes, replayed through the real limiter of each node and,
-/// side by side, through one central bucket a tenant. Traffic steps between 0.38 and 1.87 of its
-/// mean; limits are 1.6 times a tenant's usual at the top of a step; now and then a tenant sends
-/// many times its usual. Digests are 150 to 800 ms late, as relays with little room make them.
+/// Replays traffic of tenants of very different sizes on 73 nodes, through the real limiter of each
+/// node and in parallel through one central bucket per tenant. Traffic alternates between 0.38 and
+/// 1.87 of its mean; limits are 1.6 times a tenant's usual peak rate; some tenants temporarily send
+/// many times their usual traffic. Digests are delayed by 150 to 800 ms, as by congested relays.
 ///
-/// Two things count. Requests refused within the limit: those by which the nodes admit fewer of a
-/// tenant in a second than its central bucket does, laid to the reasons that the limiter gives for
-/// the refusals of that second. (Of a tenant above its limit, the central bucket and the nodes
-/// admit as many, but not the same ones.) And the most requests in any window against what it
-/// allows.
+/// Two values are measured. Requests refused within the limit: the number by which the nodes admit
+/// fewer requests of a tenant in a second than its central bucket, attributed to the reasons that
+/// the limiter gives for the refusals of that second. (Single requests are not compared: for a
+/// tenant above its limit, the central bucket and the nodes admit equally many, but different
+/// ones.) And the maximum number of requests in any window, relative to the number allowed.
 ///
 /// DOCKPOINT_RATE_FLEET_SEEDS sets the number of seeds (default 3).
 using namespace dockpoint;
@@ -41,20 +41,20 @@
 constexpr std::size_t kNodes = 73;
 constexpr double kLargestRate = 354;
 constexpr double kSmallestRate = 5;
-constexpr double kSkew = 1.2;         ///< A tenant's limit by its rank in size.
-constexpr double kLimitFactor = 1.6;  ///< Limit in parts of the usual at the top of a step.
-constexpr double kTop = 1.87;         ///< Of a step, in parts of the mean,
-constexpr double kBottom = 0.383;     ///< and between steps.
-/// Ranks that are played; tenants do not affect each other in the limiter.
+constexpr double kSkew = 1.2;         ///< Zipf exponent of the limits by tenant rank.
+constexpr double kLimitFactor = 1.6;  ///< Limit relative to the tenant's usual peak rate.
+constexpr double kTop = 1.87;         ///< Peak rate relative to the mean.
+constexpr double kBottom = 0.383;     ///< Rate between peaks relative to the mean.
+/// Ranks simulated. A subset suffices, since the limiter treats tenants independently.
 constexpr std::array<int, 7> kRanks{1, 2, 3, 6, 12, 30, 79};
 
-/// What happens beside the traffic.
+/// Hot tenants and faults in a run.
 struct FleetScenario {
   bool hot = false;    ///< Two tenants send many times their usual for some seconds.
-  bool cut = false;    ///< 35% of the nodes hear nobody for 12 s.
-  bool kills = false;  ///< Single nodes are killed and start again.
+  bool cut = false;    ///< 35% of the nodes hear no others for 12 s.
+  bool kills = false;  ///< Single nodes are killed and restarted.
   bool restart_all = false;
-  bool added = false;  ///< 18 nodes more.
+  bool added = false;  ///< 18 nodes are added.
 };
 
 struct HotPeriod {
@@ -64,13 +64,13 @@
 };
 
 struct Outcome {
-  double wanted = 0;                ///< Requests that the central buckets admit.
-  double refused = 0;               ///< By the nodes, whether within the limit or above it.
+  double wanted = 0;                ///< Requests admitted by the central buckets.
+  double refused = 0;               ///< Requests refused by the nodes, within or above the limit.
   double refused_within_limit = 0;  ///< Refused within the limit.
-  double admitted_above = 0;  ///< By which the nodes admit more in a second than central buckets.
-  double not_matched = 0;     ///< Refused though the central bucket admits this very request.
-  double worst_window = 0;    ///< In parts of what it allows.
-  std::map<std::string, double> by_reason;  ///< Of those refused within the limit.
+  double admitted_above = 0;        ///< Excess over the central buckets, summed per second.
+  double not_matched = 0;           ///< Refused, but admitted by the central bucket.
+  double worst_window = 0;          ///< Relative to the requests allowed in a window.
+  std::map<std::string, double> by_reason;  ///< Requests refused within the limit, by reason.
 
   void add(const Outcome& other) {
     wanted += other.wanted;
@@ -221,12 +221,13 @@
     }
     node.next_digest = now_ + kDigestMs;
     const auto report = std::make_shared<const SpendReport>(node.limiter->report(at(now_)));
-    // One relay passes it on to all, as late as its room allows; a later digest may replace it.
+    // One relay forwards the digest to all nodes, delayed by its capacity; it may be overtaken by a
+    // later digest.
     const auto relayed = now_ + 150 + static_cast<std::int64_t>(random_() % 550);
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
       if (other != index && !is_cut(node, now_) && !is_cut(nodes_[other], now_)) {
         digests_.push({relayed + static_cast<std::int64_t>(random_() % 100), index, other, report});
-        // Heartbeats are always passed on.
+        // Heartbeats are always relayed.
         if (nodes_[other].limiter) {
           nodes_[other].limiter->record_heartbeat(static_cast<std::uint32_t>(index), at(now_));
         }
@@ -267,7 +268,7 @@
 
   void arrive(Account& account, Node& node) {
     if (!node.limiter) {
-      return;  // Nobody there: the caller goes elsewhere, later.
+      return;  // Node down: not counted, since the caller would retry elsewhere.
     }
     const bool wanted = central_admits(account);
     const RateVerdict verdict = node.limiter->admit(account.tenant, at(now_));
@@ -361,8 +362,8 @@
   BOOST_TEST_MESSAGE(name << ": within the limit " << all.wanted << ", of these refused "
                           << percent(all.refused_within_limit) << " (" << reasons
                           << " ); admitted above it " << percent(all.admitted_above)
-                          << ", refused in all " << percent(all.refused)
-                          << ", refused though the central bucket admits this very request "
+                          << ", refused in total " << percent(all.refused)
+                          << ", refused but admitted by the central bucket "
                           << percent(all.not_matched) << ", worst window " << all.worst_window);
   return all;
 }
@@ -371,7 +372,7 @@
 
 BOOST_AUTO_TEST_SUITE(rate_limit_fleet_replay)
 
-BOOST_AUTO_TEST_CASE(on_a_calm_day_hardly_anybody_within_the_limit_is_refused) {
+BOOST_AUTO_TEST_CASE(under_normal_load_almost_no_request_within_the_limit_is_refused) {
   const Outcome outcome = run_seeds("calm", {});
   BOOST_TEST(outcome.refused_part() < 0.005);
   BOOST_TEST(outcome.worst_window <= 1);
@@ -403,8 +404,8 @@
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
-BOOST_AUTO_TEST_CASE(all_at_once_keeps_the_limit) {
-  const Outcome outcome = run_seeds("all at once", {true, true, true, true, true});
+BOOST_AUTO_TEST_CASE(all_faults_combined_keep_the_limit) {
+  const Outcome outcome = run_seeds("all faults combined", {true, true, true, true, true});
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
--- a/tests/admission/request_fingerprint_test.cpp
+++ b/tests/admission/request_fingerprint_test.cpp
@@ -13,11 +13,11 @@
 
 BOOST_AUTO_TEST_SUITE(request_fingerprint)
 
-BOOST_AUTO_TEST_CASE(the_same_content_has_the_same_fingerprint_in_all_versions) {
+BOOST_AUTO_TEST_CASE(the_fingerprint_of_given_content_is_stable_across_versions) {
   BOOST_TEST(fingerprint_of(kRequest).hex() == "89b27ef76a8d50060bb74cdf82e962ce");
 }
 
-BOOST_AUTO_TEST_CASE(any_part_that_differs_makes_another_fingerprint) {
+BOOST_AUTO_TEST_CASE(a_change_of_any_part_changes_the_fingerprint) {
   std::set<RequestFingerprint> seen{fingerprint_of(kRequest)};
   for (std::string_view RequestContent::*part :
        {&RequestContent::method, &RequestContent::host, &RequestContent::target,
@@ -28,7 +28,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_fingerprint_is_read_from_its_digits_and_from_nothing_else) {
+BOOST_AUTO_TEST_CASE(a_fingerprint_is_parsed_only_from_exactly_32_hex_digits) {
   const RequestFingerprint request = fingerprint_of(kRequest);
   BOOST_TEST((Hash128::parse(request.hex()) == request));
   for (const char* text :
@@ -38,7 +38,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(parts_do_not_run_into_each_other) {
+BOOST_AUTO_TEST_CASE(moving_bytes_between_parts_changes_the_fingerprint) {
   const RequestContent left{"POST", "h", "/a", "b", "c"};
   const RequestContent right{"POST", "h", "/ab", "", "c"};
   BOOST_TEST((fingerprint_of(left) != fingerprint_of(right)));
--- a/tests/admission/request_quarantine_test.cpp
+++ b/tests/admission/request_quarantine_test.cpp
@@ -31,7 +31,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(request_quarantine, Fixture)
 
-BOOST_AUTO_TEST_CASE(the_third_replica_that_ends_under_a_request_quarantines_it) {
+BOOST_AUTO_TEST_CASE(the_third_replica_crash_quarantines_the_request) {
   BOOST_TEST((record_crash(1, 0s) == EvidenceEffect::kCounted));
   BOOST_TEST((record_crash(2, 1s) == EvidenceEffect::kCounted));
   BOOST_TEST(!is_quarantined(1s));
@@ -41,14 +41,14 @@
   BOOST_TEST((record_crash(4, 3s) == EvidenceEffect::kCounted));
 }
 
-BOOST_AUTO_TEST_CASE(one_end_that_several_nodes_saw_counts_once) {
+BOOST_AUTO_TEST_CASE(a_crash_observed_by_several_nodes_counts_once) {
   record_crash(1, 0s);
   BOOST_TEST((record_crash(1, 100ms) == EvidenceEffect::kKnown));
   BOOST_TEST((record_crash(1, 200ms) == EvidenceEffect::kKnown));
   BOOST_TEST(!is_quarantined(200ms));
 }
 
-BOOST_AUTO_TEST_CASE(word_that_goes_round_among_nodes_does_not_keep_evidence_young) {
+BOOST_AUTO_TEST_CASE(relayed_evidence_is_not_refreshed) {
   for (const std::uint64_t replica : {1, 2, 3}) {
     record_crash(replica, 0s);
   }
@@ -60,7 +60,7 @@
   BOOST_TEST(!is_quarantined(knobs.crash_memory + 1ms));
 }
 
-BOOST_AUTO_TEST_CASE(a_request_gets_another_trial_when_its_ends_are_old) {
+BOOST_AUTO_TEST_CASE(a_request_is_released_when_its_evidence_expires) {
   record_crash(1, 0s);
   record_crash(2, 60s);
   record_crash(3, 120s);
@@ -74,7 +74,7 @@
   BOOST_TEST((record_crash(4, knobs.crash_memory + 1s) == EvidenceEffect::kQuarantined));
 }
 
-BOOST_AUTO_TEST_CASE(evidence_of_long_ago_does_not_count) {
+BOOST_AUTO_TEST_CASE(expired_evidence_is_ignored) {
   const TimePoint now = at(knobs.crash_memory + 1s);
   for (const std::uint64_t replica : {1, 2, 3}) {
     BOOST_TEST(
@@ -83,7 +83,7 @@
   BOOST_TEST(!quarantine.check(kRequest, now));
 }
 
-BOOST_AUTO_TEST_CASE(a_machine_that_was_suspended_for_long_has_forgotten_on_waking) {
+BOOST_AUTO_TEST_CASE(evidence_expires_while_the_machine_is_suspended) {
   record_crash(1, 0s);
   record_crash(2, 0s);
   record_crash(3, 0s);
@@ -93,17 +93,17 @@
   BOOST_TEST(quarantine.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_cleared_request_is_free_until_replicas_end_again) {
+BOOST_AUTO_TEST_CASE(a_cleared_request_is_quarantined_again_only_after_new_crashes) {
   record_crash(1, 0s);
   record_crash(2, 1s);
   record_crash(3, 2s);
   BOOST_TEST(quarantine.take(RequestClearance{kRequest, at(5s)}, at(5s)));
   BOOST_TEST(!is_quarantined(5s));
-  // Word of the ends before comes late from another node.
+  // Late evidence of a crash before the clearance.
   BOOST_TEST(
       (quarantine.take(CrashEvidence{kRequest, 9, at(4s)}, at(6s)) == EvidenceEffect::kKnown));
   BOOST_TEST(!quarantine.take(RequestClearance{kRequest, at(3s)}, at(6s)));
-  // The same clearance, told by way of other nodes, looks later.
+  // The same clearance relayed by other nodes appears later, because relay time is not counted.
   BOOST_TEST(!quarantine.take(RequestClearance{kRequest, at(6s)}, at(6s)));
   record_crash(4, 7s);
   record_crash(5, 8s);
@@ -111,7 +111,7 @@
   BOOST_TEST(is_quarantined(9s));
 }
 
-BOOST_AUTO_TEST_CASE(nodes_that_merge_the_same_reports_in_any_order_agree) {
+BOOST_AUTO_TEST_CASE(merging_evidence_is_independent_of_order) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<CrashEvidence> evidence;
@@ -139,7 +139,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_item_that_follows_a_request_which_crashes_replicas_is_free) {
+BOOST_AUTO_TEST_CASE(crashes_are_attributed_to_a_crashing_request_rather_than_to_a_batch_item) {
   constexpr RequestFingerprint kItem{3, 3};
   const auto record_item_crash = [&](std::uint64_t replica) {
     return quarantine.take(CrashEvidence{kItem, replica, at(1s), true}, at(1s));
@@ -148,7 +148,7 @@
   record_item_crash(1);
   record_item_crash(2);
   BOOST_TEST((record_item_crash(3) == EvidenceEffect::kQuarantined));
-  // Word of the request that was there each time comes later.
+  // Evidence against the request that ran on all three replicas arrives later.
   record_crash(1, 1s);
   record_crash(2, 1s);
   BOOST_TEST(item_is_quarantined());
@@ -162,7 +162,7 @@
   BOOST_TEST(is_quarantined(1s));
 }
 
-BOOST_AUTO_TEST_CASE(a_flood_of_suspects_is_bounded_and_does_not_free_the_quarantined) {
+BOOST_AUTO_TEST_CASE(tracked_requests_are_bounded_and_quarantined_ones_are_not_evicted) {
   record_crash(1, 0s);
   record_crash(2, 0s);
   record_crash(3, 0s);
@@ -173,7 +173,7 @@
   BOOST_TEST(is_quarantined(20s));
 }
 
-BOOST_AUTO_TEST_CASE(ends_of_one_request_are_bounded) {
+BOOST_AUTO_TEST_CASE(crashes_stored_for_one_request_are_bounded) {
   for (std::uint64_t replica = 0; replica < 1'000; ++replica) {
     record_crash(replica, std::chrono::milliseconds(replica));
   }
@@ -181,7 +181,7 @@
   BOOST_TEST(is_quarantined(1s));
 }
 
-BOOST_AUTO_TEST_CASE(reports_travel_as_ages) {
+BOOST_AUTO_TEST_CASE(reports_encode_times_as_ages) {
   CrashReport report;
   report.evidence.push_back({kRequest, 5, at(1s)});
   report.clearances.push_back({kOther, at(2s)});
@@ -196,7 +196,7 @@
   BOOST_TEST(read->reply_requested);
 }
 
-BOOST_AUTO_TEST_CASE(damaged_reports_are_refused_or_read_but_never_crash) {
+BOOST_AUTO_TEST_CASE(corrupt_reports_are_rejected_or_decoded_without_crashing) {
   CrashReport report;
   for (std::uint64_t index = 0; index < 20; ++index) {
     report.evidence.push_back({{index, ~index}, index, at(0s)});
--- a/tests/admission/tenant_rate_limiter_test.cpp
+++ b/tests/admission/tenant_rate_limiter_test.cpp
@@ -33,7 +33,7 @@
     }
     return admitted;
   }
-  /// Another node tells of `total` requests, the last `recent` of them lately.
+  /// Another node reports `total` requests, the last `recent` of them recent.
   void hear(std::uint32_t node, std::uint32_t run_number, std::uint32_t total,
             std::uint32_t recent) {
     limiter.merge_report(node, {run_number, ++reports, 2, {{tenant_key("clinic"), total, recent}}},
@@ -49,14 +49,14 @@
   run(10'000);
   const int burst = admitted_of(100);
   BOOST_TEST(burst >= 10);
-  BOOST_TEST(burst <= 10 + 7);  // A fifth of the tolerance of (10 x 5 + 10) x 0.1 + 20.
+  BOOST_TEST(burst <= 10 + 7);  // Plus a fifth of the tolerance: (10 x 5 + 10) x 0.1 + 20.
   run(1'000);
   const int later = admitted_of(100);
   BOOST_TEST(later >= 9);
   BOOST_TEST(later <= 11);
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_says_when_the_next_token_is_there) {
+BOOST_AUTO_TEST_CASE(a_refusal_gives_the_time_until_the_next_token) {
   run(10'000);
   admitted_of(100);
   const RateVerdict verdict = limiter.admit(tenant, at(now));
@@ -65,18 +65,18 @@
   BOOST_TEST(to_ms(verdict.retry_after) <= 400);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_starts_grants_no_second_burst) {
+BOOST_AUTO_TEST_CASE(a_starting_node_grants_no_second_burst) {
   run(200);
   BOOST_TEST(admitted_of(100) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(tenants_without_a_limit_are_not_counted) {
+BOOST_AUTO_TEST_CASE(tenants_without_a_limit_are_not_tracked) {
   tenant.rate = {};
   BOOST_TEST(admitted_of(100) == 100);
   BOOST_TEST(limiter.accounts() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(what_other_nodes_admit_is_taken_out_once_however_often_it_is_told) {
+BOOST_AUTO_TEST_CASE(requests_admitted_by_other_nodes_are_deducted_once_despite_repeated_reports) {
   run(10'000);
   for (int repeat = 0; repeat < 4; ++repeat) {
     hear(7, 1, 20, 20);
@@ -85,7 +85,7 @@
   BOOST_TEST(admitted_of(100) <= 5);
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_digest_is_made_up_for_by_the_next) {
+BOOST_AUTO_TEST_CASE(the_next_digest_compensates_for_lost_ones) {
   run(10'000);
   hear(7, 1, 1, 1);
   run(1'000);
@@ -93,7 +93,7 @@
   BOOST_TEST(admitted_of(100) <= 5);
 }
 
-BOOST_AUTO_TEST_CASE(a_restart_of_another_node_is_no_spending) {
+BOOST_AUTO_TEST_CASE(a_restart_of_another_node_is_not_counted_as_spending) {
   run(10'000);
   hear(7, 1, 4'000'000'000U, 0);
   run(200);
@@ -101,7 +101,7 @@
   BOOST_TEST(admitted_of(100) >= 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_did_not_run_gives_its_token_back_here_and_elsewhere) {
+BOOST_AUTO_TEST_CASE(a_refund_returns_the_token_on_this_and_on_other_nodes) {
   run(10'000);
   BOOST_TEST(limiter.admit(tenant, at(now)).admitted);
   const std::uint32_t told = limiter.report(at(now)).spends.front().total;
@@ -117,7 +117,7 @@
   BOOST_TEST(other.admit(tenant, at(now)).tokens >= before - 1 + 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_report_that_another_one_has_overtaken_changes_nothing) {
+BOOST_AUTO_TEST_CASE(duplicate_and_overtaken_reports_are_ignored) {
   run(10'000);
   const SpendReport older{1, 1, 2, {{tenant_key("clinic"), 3, 3}}};
   const SpendReport newer{1, 2, 2, {{tenant_key("clinic"), 2, 2}}};
@@ -128,7 +128,7 @@
   BOOST_TEST(limiter.admit(tenant, at(now)).tokens == before - 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_hears_half_of_the_others_has_half_of_the_limit) {
+BOOST_AUTO_TEST_CASE(a_node_that_hears_half_of_the_fleet_has_half_of_the_limit) {
   for (int round = 0; round < 100; ++round) {
     run(100);
     hear(7, 1, 0, 0);
@@ -141,7 +141,7 @@
   BOOST_TEST(admitted <= 6);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_stood_still_begins_with_empty_buckets) {
+BOOST_AUTO_TEST_CASE(a_node_resumes_from_a_pause_with_empty_buckets) {
   run(10'000);
   admitted_of(1);
   now += 4'000;
@@ -150,7 +150,8 @@
   BOOST_TEST(admitted_of(100) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_should_hear_others_and_does_not_has_a_small_part) {
+BOOST_AUTO_TEST_CASE(
+    a_node_that_hears_none_of_its_expected_peers_has_a_small_fraction_of_the_limit) {
   limiter.expect_others(true);
   run(10'000);
   const RateVerdict verdict = limiter.admit(tenant, at(now));
@@ -158,7 +159,7 @@
   BOOST_TEST(admitted_of(100) <= 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_lower_limit_holds_at_once) {
+BOOST_AUTO_TEST_CASE(a_lowered_limit_takes_effect_immediately) {
   run(10'000);
   tenant.rate = {1, 1};
   limiter.set_limits(TenantDirectory::build({tenant}).value());
@@ -166,7 +167,7 @@
   BOOST_TEST(admitted_of(100) <= 1 + 6);
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_says_why) {
+BOOST_AUTO_TEST_CASE(a_refusal_gives_its_reason) {
   const auto reason = [&] { return limiter.admit(tenant, at(now)).refusal; };
   run(50);
   BOOST_TEST((reason() == RateRefusal::kStarting));
@@ -179,9 +180,9 @@
   BOOST_TEST((reason() == RateRefusal::kCutOff));
 }
 
-// A burst that all nodes see at once: each takes itself for one among all until the others' news
-// comes, however many requests it has seen itself.
-BOOST_AUTO_TEST_CASE(a_sudden_burst_does_not_raise_the_share_of_the_node) {
+// In a burst that reaches all nodes at once, each node must keep its previous share until reports
+// of the others arrive, however many requests it has received itself.
+BOOST_AUTO_TEST_CASE(unreported_requests_do_not_raise_the_share_of_a_node) {
   for (int round = 0; round < 100; ++round) {
     for (std::uint32_t node = 1; node < 10; ++node) {
       hear(node, 1, 0, 0);
@@ -193,9 +194,9 @@
   BOOST_TEST(limiter.admit(tenant, at(now)).share <= before);
 }
 
-// Others have overspent: while the debt is small, requests are admitted at a lower pace than the
-// limit's rate, and not refused until all of it is paid.
-BOOST_AUTO_TEST_CASE(a_small_debt_is_paid_while_requests_are_admitted) {
+// Other nodes have overspent: while the debt is small, requests are admitted at a pace below the
+// limit's rate, rather than refused until the whole debt is paid.
+BOOST_AUTO_TEST_CASE(a_small_debt_is_paid_off_while_requests_are_still_admitted) {
   run(10'000);
   admitted_of(15);
   run(1'000);
@@ -211,7 +212,7 @@
   BOOST_TEST(admitted_in_debt <= 8);
 }
 
-BOOST_AUTO_TEST_CASE(an_account_that_nobody_uses_is_dropped) {
+BOOST_AUTO_TEST_CASE(an_idle_account_is_dropped) {
   run(10'000);
   admitted_of(1);
   BOOST_TEST(limiter.accounts() == 1U);
@@ -219,7 +220,7 @@
   BOOST_TEST(limiter.accounts() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_limit_that_is_removed_and_comes_back_refunds_nothing) {
+BOOST_AUTO_TEST_CASE(removing_and_restoring_a_limit_refunds_nothing) {
   hear(7, 1, 100, 0);
   run(10'000);
   limiter.set_limits(TenantDirectory{});
@@ -227,7 +228,7 @@
   limiter.set_limits(tenants);
   run(100);
   const double before = limiter.admit(tenant, at(now)).tokens;
-  hear(7, 1, 1, 1);  // The other node counts from zero, too.
+  hear(7, 1, 1, 1);  // The other node counts from zero as well.
   BOOST_TEST(limiter.admit(tenant, at(now)).tokens < before);
 }
 
