--- a/src/admission/crash_evidence.cpp
+++ b/src/admission/crash_evidence.cpp
@@ -7,7 +7,8 @@
 namespace dockpoint {
 namespace {
 
-/// First byte of a report; in MessagePack a message between nodes never begins with it.
+/// First byte of a report. It is the MessagePack tag of a byte string, with which no other message
+/// between nodes begins.
 constexpr char kCrashReportTag = '\xc4';
 
 struct EvidenceWire {
@@ -29,12 +30,12 @@
 struct CrashReportWire {
   std::vector<EvidenceWire> evidence;
   std::vector<ClearanceWire> clearances;
-  bool answer_wanted = false;
-  DOCKPOINT_FIELDS(evidence, clearances, answer_wanted)
+  bool reply_requested = false;
+  DOCKPOINT_FIELDS(evidence, clearances, reply_requested)
 };
 
-/// @return when something happened that is so old; an age below zero cannot be meant.
-TimePoint time_of(std::int64_t age_ms, TimePoint now) {
+/// @return the local time of an event with the given age; negative ages count as zero.
+TimePoint time_from_age(std::int64_t age_ms, TimePoint now) {
   return now - std::chrono::milliseconds(std::max<std::int64_t>(age_ms, 0));
 }
 
@@ -50,7 +51,7 @@
     wire.clearances.push_back(
         {clearance.request.high, clearance.request.low, to_ms(now - clearance.cleared_at)});
   }
-  wire.answer_wanted = report.answer_wanted;
+  wire.reply_requested = report.reply_requested;
   return kCrashReportTag + pack(wire);
 }
 
@@ -70,13 +71,14 @@
   for (const EvidenceWire& evidence : wire->evidence) {
     report.evidence.push_back({{evidence.high, evidence.low},
                                evidence.replica,
-                               time_of(evidence.age_ms, now),
+                               time_from_age(evidence.age_ms, now),
                                evidence.batch});
   }
   for (const ClearanceWire& clearance : wire->clearances) {
-    report.clearances.push_back({{clearance.high, clearance.low}, time_of(clearance.age_ms, now)});
+    report.clearances.push_back(
+        {{clearance.high, clearance.low}, time_from_age(clearance.age_ms, now)});
   }
-  report.answer_wanted = wire->answer_wanted;
+  report.reply_requested = wire->reply_requested;
   return report;
 }
 
--- a/tests/admission/rate_limit_fleet_replay_test.cpp
+++ b/tests/admission/rate_limit_fleet_replay_test.cpp
@@ -15,16 +15,16 @@
 #include "dockpoint/admission/tenant_rate_limiter.hpp"
 #include "support/fleet.hpp"
 
-/// Tenants of very different size at 73 nodes, replayed through the real limiter of each node and,
-/// side by side, through one central bucket a tenant. Traffic steps between 0.38 and 1.87 of its
-/// mean; limits are 1.6 times a tenant's usual at the top of a step; now and then a tenant sends
-/// many times its usual. Digests are 150 to 800 ms late, as relays with little room make them.
+/// Replays traffic of tenants of very different sizes on 73 nodes, through the real limiter of each
+/// node and in parallel through one central bucket per tenant. Traffic alternates between 0.38 and
+/// 1.87 of its mean; limits are 1.6 times a tenant's usual peak rate; some tenants temporarily send
+/// many times their usual traffic. Digests are delayed by 150 to 800 ms, as by congested relays.
 ///
-/// Two things count. Requests refused within the limit: those by which the nodes admit fewer of a
-/// tenant in a second than its central bucket does, laid to the reasons that the limiter gives for
-/// the refusals of that second. (Of a tenant above its limit, the central bucket and the nodes
-/// admit as many, but not the same ones.) And the most requests in any window against what it
-/// allows.
+/// Two values are measured. Requests refused within the limit: the number by which the nodes admit
+/// fewer requests of a tenant in a second than its central bucket, attributed to the reasons that
+/// the limiter gives for the refusals of that second. (Single requests are not compared: for a
+/// tenant above its limit, the central bucket and the nodes admit equally many, but different
+/// ones.) And the maximum number of requests in any window, relative to the number allowed.
 ///
 /// DOCKPOINT_RATE_FLEET_SEEDS sets the number of seeds (default 3).
 using namespace dockpoint;
@@ -41,41 +41,41 @@
 constexpr std::size_t kNodes = 73;
 constexpr double kLargestRate = 354;
 constexpr double kSmallestRate = 5;
-constexpr double kSkew = 1.2;         ///< A tenant's limit by its rank in size.
-constexpr double kLimitFactor = 1.6;  ///< Limit in parts of the usual at the top of a step.
-constexpr double kTop = 1.87;         ///< Of a step, in parts of the mean,
-constexpr double kBottom = 0.383;     ///< and between steps.
-/// Ranks that are played; tenants do not affect each other in the limiter.
+constexpr double kSkew = 1.2;         ///< Zipf exponent of the limits by tenant rank.
+constexpr double kLimitFactor = 1.6;  ///< Limit relative to the tenant's usual peak rate.
+constexpr double kTop = 1.87;         ///< Peak rate relative to the mean.
+constexpr double kBottom = 0.383;     ///< Rate between peaks relative to the mean.
+/// Ranks simulated. A subset suffices, since the limiter treats tenants independently.
 constexpr std::array<int, 7> kRanks{1, 2, 3, 6, 12, 30, 79};
 
-/// What happens beside the traffic.
-struct Day {
+/// Hot tenants and faults in a run.
+struct FleetScenario {
   bool hot = false;    ///< Two tenants send many times their usual for some seconds.
-  bool cut = false;    ///< 35% of the nodes hear nobody for 12 s.
-  bool kills = false;  ///< Single nodes are killed and start again.
+  bool cut = false;    ///< 35% of the nodes hear no others for 12 s.
+  bool kills = false;  ///< Single nodes are killed and restarted.
   bool restart_all = false;
-  bool added = false;  ///< 18 nodes more.
+  bool added = false;  ///< 18 nodes are added.
 };
 
-struct HotTime {
+struct HotPeriod {
   std::int64_t from = 0;
   std::int64_t to = 0;
   double factor = 1;
 };
 
 struct Outcome {
-  double wanted = 0;          ///< Requests that the central buckets admit.
-  double refused = 0;         ///< By the nodes, whether within the limit or above it.
-  double refused_short = 0;   ///< Refused within the limit.
-  double admitted_above = 0;  ///< By which the nodes admit more in a second than central buckets.
-  double not_matched = 0;     ///< Refused though the central bucket admits this very request.
-  double worst_window = 0;    ///< In parts of what it allows.
-  std::map<std::string, double> by_reason;  ///< Of those refused within the limit.
+  double wanted = 0;                ///< Requests admitted by the central buckets.
+  double refused = 0;               ///< Requests refused by the nodes, within or above the limit.
+  double refused_within_limit = 0;  ///< Refused within the limit.
+  double admitted_above = 0;        ///< Excess over the central buckets, summed per second.
+  double not_matched = 0;           ///< Refused, but admitted by the central bucket.
+  double worst_window = 0;          ///< Relative to the requests allowed in a window.
+  std::map<std::string, double> by_reason;  ///< Requests refused within the limit, by reason.
 
   void add(const Outcome& other) {
     wanted += other.wanted;
     refused += other.refused;
-    refused_short += other.refused_short;
+    refused_within_limit += other.refused_within_limit;
     admitted_above += other.admitted_above;
     not_matched += other.not_matched;
     worst_window = std::max(worst_window, other.worst_window);
@@ -83,12 +83,13 @@
       by_reason[reason] += count;
     }
   }
-  double refused_part() const { return wanted == 0 ? 0 : refused_short / wanted; }
+  double refused_part() const { return wanted == 0 ? 0 : refused_within_limit / wanted; }
 };
 
 class FleetReplay {
  public:
-  FleetReplay(const Day& day, std::uint64_t seed) : day_(day), random_(seed) {
+  FleetReplay(const FleetScenario& scenario, std::uint64_t seed)
+      : scenario_(scenario), random_(seed) {
     std::vector<Tenant> tenants;
     for (const int rank : kRanks) {
       const double rate = std::max(kSmallestRate, std::round(kLargestRate / std::pow(rank, kSkew)));
@@ -103,7 +104,7 @@
     for (Node& node : nodes_) {
       start(node);
     }
-    draw_hot_times();
+    draw_hot_periods();
   }
 
   Outcome run() {
@@ -111,20 +112,20 @@
     const std::int64_t added_at = 16'000;
     const std::int64_t restart_at = 17'000 + static_cast<std::int64_t>(random_() % 4'000);
     for (now_ = 0; now_ < kEndMs; now_ += kStepMs) {
-      if (day_.cut && now_ == cut_from) {
+      if (scenario_.cut && now_ == cut_from) {
         cut(kNodes * 35 / 100, 12'000);
       }
-      if (day_.added && now_ >= added_at && now_ < added_at + 180) {
+      if (scenario_.added && now_ >= added_at && now_ < added_at + 180) {
         nodes_.emplace_back();
         start(nodes_.back());
       }
-      if (day_.restart_all && now_ == restart_at / kStepMs * kStepMs) {
+      if (scenario_.restart_all && now_ == restart_at / kStepMs * kStepMs) {
         const auto down = static_cast<std::int64_t>(500 + random_() % 800);
         for (Node& node : nodes_) {
           stop(node, down + static_cast<std::int64_t>(random_() % 200));
         }
       }
-      if (day_.kills && now_ > kTrafficFromMs && random_() % 100 == 0) {
+      if (scenario_.kills && now_ > kTrafficFromMs && random_() % 100 == 0) {
         stop(nodes_[random_() % nodes_.size()],
              1'000 + static_cast<std::int64_t>(random_() % 1'500));
       }
@@ -158,7 +159,7 @@
   };
   struct Account {
     Tenant tenant;
-    HotTime hot;
+    HotPeriod hot;
     double central = 0;  ///< Tokens in the central bucket.
     std::int64_t central_at = 0;
     std::vector<std::int64_t> admitted;
@@ -195,8 +196,8 @@
     }
   }
 
-  void draw_hot_times() {
-    for (int drawn = 0; day_.hot && drawn < 2; ++drawn) {
+  void draw_hot_periods() {
+    for (int drawn = 0; scenario_.hot && drawn < 2; ++drawn) {
       const auto from = static_cast<std::int64_t>(8'000 + random_() % 12'000);
       const auto length = static_cast<std::int64_t>(5'000 + random_() % 3'000);
       const double factor = std::uniform_real_distribution<double>(4, 7.5)(random_);
@@ -220,14 +221,15 @@
     }
     node.next_digest = now_ + kDigestMs;
     const auto report = std::make_shared<const SpendReport>(node.limiter->report(at(now_)));
-    // One relay passes it on to all, as late as its room allows; a later digest may replace it.
+    // One relay forwards the digest to all nodes, delayed by its capacity; it may be overtaken by a
+    // later digest.
     const auto relayed = now_ + 150 + static_cast<std::int64_t>(random_() % 550);
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
       if (other != index && !is_cut(node, now_) && !is_cut(nodes_[other], now_)) {
         digests_.push({relayed + static_cast<std::int64_t>(random_() % 100), index, other, report});
-        // Heartbeats are always passed on.
+        // Heartbeats are always relayed.
         if (nodes_[other].limiter) {
-          nodes_[other].limiter->renew(static_cast<std::uint32_t>(index), at(now_));
+          nodes_[other].limiter->record_heartbeat(static_cast<std::uint32_t>(index), at(now_));
         }
       }
     }
@@ -239,7 +241,8 @@
       digests_.pop();
       Node& node = nodes_[digest.to];
       if (node.limiter && !is_cut(node, now_) && !is_cut(nodes_[digest.from], now_)) {
-        node.limiter->take(static_cast<std::uint32_t>(digest.from), *digest.report, at(now_));
+        node.limiter->merge_report(static_cast<std::uint32_t>(digest.from), *digest.report,
+                                   at(now_));
       }
     }
   }
@@ -265,7 +268,7 @@
 
   void arrive(Account& account, Node& node) {
     if (!node.limiter) {
-      return;  // Nobody there: the caller goes elsewhere, later.
+      return;  // Node down: not counted, since the caller would retry elsewhere.
     }
     const bool wanted = central_admits(account);
     const RateVerdict verdict = node.limiter->admit(account.tenant, at(now_));
@@ -286,7 +289,7 @@
   void compare_seconds(const Account& account) {
     for (const auto& [number, second] : account.seconds) {
       const double missing = second.wanted - second.admitted;
-      outcome_.refused_short += std::max(0.0, missing);
+      outcome_.refused_within_limit += std::max(0.0, missing);
       outcome_.admitted_above += std::max(0.0, -missing);
       double refused = 0;
       for (const auto& [reason, count] : second.refused) {
@@ -324,7 +327,7 @@
     return static_cast<double>(worst) / allowed;
   }
 
-  const Day day_;
+  const FleetScenario scenario_;
   std::mt19937_64 random_;
   Knobs knobs_;
   TenantDirectory directory_;
@@ -342,10 +345,10 @@
   return text == nullptr ? kDefaultSeeds : std::strtoull(text, nullptr, 10);
 }
 
-Outcome play(const char* name, const Day& day) {
+Outcome run_seeds(const char* name, const FleetScenario& scenario) {
   Outcome all;
   for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-    const Outcome one = FleetReplay(day, seed).run();
+    const Outcome one = FleetReplay(scenario, seed).run();
     if (one.worst_window > 1) {
       BOOST_TEST_MESSAGE(name << ": seed " << seed << " window " << one.worst_window);
     }
@@ -357,10 +360,10 @@
   }
   const auto percent = [&](double count) { return std::to_string(count / all.wanted * 100) + "%"; };
   BOOST_TEST_MESSAGE(name << ": within the limit " << all.wanted << ", of these refused "
-                          << percent(all.refused_short) << " (" << reasons
+                          << percent(all.refused_within_limit) << " (" << reasons
                           << " ); admitted above it " << percent(all.admitted_above)
-                          << ", refused in all " << percent(all.refused)
-                          << ", refused though the central bucket admits this very request "
+                          << ", refused in total " << percent(all.refused)
+                          << ", refused but admitted by the central bucket "
                           << percent(all.not_matched) << ", worst window " << all.worst_window);
   return all;
 }
@@ -369,40 +372,40 @@
 
 BOOST_AUTO_TEST_SUITE(rate_limit_fleet_replay)
 
-BOOST_AUTO_TEST_CASE(on_a_calm_day_hardly_anybody_within_the_limit_is_refused) {
-  const Outcome outcome = play("calm", {});
+BOOST_AUTO_TEST_CASE(under_normal_load_almost_no_request_within_the_limit_is_refused) {
+  const Outcome outcome = run_seeds("calm", {});
   BOOST_TEST(outcome.refused_part() < 0.005);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_hot_tenant_gets_what_its_limit_allows) {
-  const Outcome outcome = play("hot tenants", {.hot = true});
+  const Outcome outcome = run_seeds("hot tenants", {.hot = true});
   BOOST_TEST(outcome.refused_part() < 0.005);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(nodes_that_are_cut_off_refuse_few_within_the_limit) {
-  const Outcome outcome = play("35% cut off, hot tenants", {.hot = true, .cut = true});
+  const Outcome outcome = run_seeds("35% cut off, hot tenants", {.hot = true, .cut = true});
   BOOST_TEST(outcome.refused_part() < 0.02);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(after_a_restart_of_all_nodes_few_within_the_limit_are_refused) {
   const Outcome outcome =
-      play("all nodes restart, hot tenants", {.hot = true, .restart_all = true});
+      run_seeds("all nodes restart, hot tenants", {.hot = true, .restart_all = true});
   BOOST_TEST(outcome.refused_part() < 0.02);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
 BOOST_AUTO_TEST_CASE(kills_and_added_nodes_refuse_few_within_the_limit) {
   const Outcome outcome =
-      play("kills, 18 nodes added, hot tenants", {.hot = true, .kills = true, .added = true});
+      run_seeds("kills, 18 nodes added, hot tenants", {.hot = true, .kills = true, .added = true});
   BOOST_TEST(outcome.refused_part() < 0.02);
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
-BOOST_AUTO_TEST_CASE(all_at_once_keeps_the_limit) {
-  const Outcome outcome = play("all at once", {true, true, true, true, true});
+BOOST_AUTO_TEST_CASE(all_faults_combined_keep_the_limit) {
+  const Outcome outcome = run_seeds("all faults combined", {true, true, true, true, true});
   BOOST_TEST(outcome.worst_window <= 1);
 }
 
