--- a/include/dockpoint/membership/catch_up.hpp
+++ b/include/dockpoint/membership/catch_up.hpp
@@ -46,15 +46,15 @@
   CatchUp(const FreshnessBudget& budget, std::uint64_t seed) : budget_(budget), turn_(seed) {}
 
   /// How far this node's own knowledge reaches now.
-  void set_known(const FleetPosition& known);
+  void set_own_position(const FleetPosition& known);
   /// Another node said how far its knowledge reaches.
-  void heard(const FleetPosition& peer, const std::string& address, TimePoint now);
+  void record_peer_position(const FleetPosition& peer, const std::string& address, TimePoint now);
   /// The question under way was answered or given up.
-  void question_ended() { asking_ = false; }
+  void query_finished() { asking_ = false; }
   /// @param follows whether this node follows the log.
   /// @return the address of the node to ask now, if any: the question counts as under way.
-  std::optional<std::string> next_question(TimePoint now, bool follows,
-                                           const Candidates& candidates);
+  std::optional<std::string> next_peer_to_query(TimePoint now, bool follows,
+                                                const Candidates& candidates);
 
  private:
   bool behind(TimePoint now) const;
--- a/include/dockpoint/membership/crash_report_spread.hpp
+++ b/include/dockpoint/membership/crash_report_spread.hpp
@@ -32,9 +32,9 @@
                     std::uint64_t seed);
 
   /// This node saw a replica end under a request.
-  void tell_witnesses(const RequestFingerprint& request, TimePoint now);
+  void send_to_witnesses(const RequestFingerprint& request, TimePoint now);
   /// A request was quarantined here, by evidence that came in several messages, or cleared.
-  void tell_all(const RequestFingerprint& request, TimePoint now);
+  void send_to_all(const RequestFingerprint& request, TimePoint now);
   /// This node may have missed what the others know.
   void catch_up(TimePoint now) { ask_until_ = now + knobs_.crash_catch_up_time; }
   /// Another node asks what is decided, or is heard again after a silence and may have missed it.
--- a/include/dockpoint/membership/record_sources.hpp
+++ b/include/dockpoint/membership/record_sources.hpp
@@ -51,7 +51,7 @@
   /// @return control address of the node to read from, if there is one.
   std::optional<std::string> next(TimePoint now);
   /// @return whether this node has no sources: it reads from the log.
-  bool none() const { return sources_.empty(); }
+  bool has_no_sources() const { return sources_.empty(); }
   /// @return whether the log may be read instead.
   bool may_read_log(TimePoint now) const;
   /// A source gave no answer of use. @param refused whether it said so.
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -122,14 +122,14 @@
                    evidence.request.hex(), replica,
                    quarantine_.report(evidence.request).evidence.size());
       if (quarantine_.check(evidence.request, now)) {
-        spread_.tell_all(evidence.request, now);
+        spread_.send_to_all(evidence.request, now);
       } else {
-        spread_.tell_witnesses(evidence.request, now);
+        spread_.send_to_witnesses(evidence.request, now);
       }
       return;
     case EvidenceEffect::kQuarantined:
       log_quarantine(evidence.request, "own", now);
-      spread_.tell_all(evidence.request, now);
+      spread_.send_to_all(evidence.request, now);
       log_.save(evidence.request, quarantine_.report(evidence.request), now);
       return;
   }
@@ -154,7 +154,7 @@
         std::count_if(report.evidence.begin(), report.evidence.end(), same_request));
     if (told < context_.knobs.crash_limit) {
       // Nobody else may have all the evidence together.
-      spread_.tell_all(evidence.request, now);
+      spread_.send_to_all(evidence.request, now);
       log_.save(evidence.request, quarantine_.report(evidence.request), now);
     }
   }
@@ -179,7 +179,7 @@
   quarantine_.take(RequestClearance{request, now}, now);
   spdlog::info("quarantine: request cleared content={} source=operator known={}", request.hex(),
                known);
-  spread_.tell_all(request, now);
+  spread_.send_to_all(request, now);
   log_.save(request, quarantine_.report(request), now);
   return known;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -94,7 +94,7 @@
             if (position.version > 0) {
               relayed_log_.others_run();
             }
-            catch_up_.heard(position, control_address, now);
+            catch_up_.record_peer_position(position, control_address, now);
             catch_up(now);
           },
           [this](const SlotRequest& request) { take_slot_request(request); },
@@ -496,8 +496,8 @@
   const FleetKnowledge known = fleet_.knowledge();
   const LogOffset replicas =
       relayed_log_.direct() ? known.replicas_position : std::numeric_limits<LogOffset>::max();
-  catch_up_.set_known({known.version, replicas, known.operator_position});
-  const auto address = catch_up_.next_question(
+  catch_up_.set_own_position({known.version, replicas, known.operator_position});
+  const auto address = catch_up_.next_peer_to_query(
       now, !fleet_.needs_peer(now), [this](bool own_zone) { return peers_to_ask(own_zone); });
   if (address) {
     ask_peer(*address);
@@ -518,7 +518,7 @@
   const std::optional<Address> address = Address::parse(control_address);
   if (!address) {
     spdlog::warn("fleet: address of a peer cannot be read address={}", control_address);
-    catch_up_.question_ended();
+    catch_up_.query_finished();
     return;
   }
   FleetKnowledge known = fleet_.knowledge();
@@ -538,7 +538,7 @@
         if (!*alive) {
           return;
         }
-        catch_up_.question_ended();
+        catch_up_.query_finished();
         if (outcome.failure || outcome.head.status != 200) {
           spdlog::info("fleet: peer did not answer peer={} status={} failure={}", control_address,
                        outcome.head.status,
--- a/src/gateway/relayed_log.cpp
+++ b/src/gateway/relayed_log.cpp
@@ -172,7 +172,7 @@
   const std::optional<std::string> address =
       relays_partition(partition) ? sources_.next(now) : std::nullopt;
   const bool patient = now - relaying_since_ < kLoadPatience;
-  if (!address && (!patient || sources_.none())) {
+  if (!address && (!patient || sources_.has_no_sources())) {
     log_.newest(partition, after_key, std::move(done));
     return;
   }
@@ -198,7 +198,7 @@
 void RelayedLog::read(const TopicPartition& partition, LogOffset from, const ReadTimes& times,
                       std::function<void(ReadOutcome)> done) {
   constexpr int kTries = 3;
-  if (relays_partition(partition) && !sources_.none()) {
+  if (relays_partition(partition) && !sources_.has_no_sources()) {
     read_from_source(partition, from, times, kTries, std::move(done));
   } else {
     log_.read(partition, from, times, std::move(done));
--- a/src/membership/catch_up.cpp
+++ b/src/membership/catch_up.cpp
@@ -5,14 +5,15 @@
 
 namespace dockpoint {
 
-void CatchUp::set_known(const FleetPosition& known) {
+void CatchUp::set_own_position(const FleetPosition& known) {
   known_ = known;
   if (!known_.behind(furthest_)) {
     behind_since_ = {};
   }
 }
 
-void CatchUp::heard(const FleetPosition& peer, const std::string& address, TimePoint now) {
+void CatchUp::record_peer_position(const FleetPosition& peer, const std::string& address,
+                                   TimePoint now) {
   furthest_.version = std::max(furthest_.version, peer.version);
   furthest_.replicas = std::max(furthest_.replicas, peer.replicas);
   furthest_.operator_records = std::max(furthest_.operator_records, peer.operator_records);
@@ -30,8 +31,8 @@
   return lags || furthest_.version > known_.version;
 }
 
-std::optional<std::string> CatchUp::next_question(TimePoint now, bool follows,
-                                                  const Candidates& candidates) {
+std::optional<std::string> CatchUp::next_peer_to_query(TimePoint now, bool follows,
+                                                       const Candidates& candidates) {
   if (asking_) {
     return std::nullopt;
   }
--- a/src/membership/crash_report_spread.cpp
+++ b/src/membership/crash_report_spread.cpp
@@ -18,11 +18,11 @@
                                      std::string node, std::uint64_t seed)
     : knobs_(knobs), quarantine_(quarantine), node_(std::move(node)), random_(seed) {}
 
-void CrashReportSpread::tell_witnesses(const RequestFingerprint& request, TimePoint now) {
+void CrashReportSpread::send_to_witnesses(const RequestFingerprint& request, TimePoint now) {
   pending_.push_back({request, false, knobs_.crash_report_rounds, now});
 }
 
-void CrashReportSpread::tell_all(const RequestFingerprint& request, TimePoint now) {
+void CrashReportSpread::send_to_all(const RequestFingerprint& request, TimePoint now) {
   std::erase_if(pending_, [&](const PendingReport& pending) { return pending.request == request; });
   pending_.push_back({request, true, knobs_.crash_report_rounds, now});
 }
--- a/tests/gateway/freshness_exploration_test.cpp
+++ b/tests/gateway/freshness_exploration_test.cpp
@@ -306,7 +306,7 @@
       }
       reaching += nodes_[to].link == LinkFault::kNone ? 1 : 0;
       if (!lost) {
-        nodes_[to].life->catch_up.heard(position, std::to_string(from), at(now_));
+        nodes_[to].life->catch_up.record_peer_position(position, std::to_string(from), at(now_));
       }
     }
     nodes_[from].peers = log_.faults.calm() ? reaching : 0;
@@ -315,7 +315,7 @@
   void ask(std::size_t index) {
     Node& node = nodes_[index];
     const FleetKnowledge known = node.life->watch.knowledge();
-    node.life->catch_up.set_known(
+    node.life->catch_up.set_own_position(
         {known.version, known.replicas_position, known.operator_position});
     if (!setup_.ask_peers) {
       return;
@@ -329,8 +329,8 @@
       }
       return others;
     };
-    const auto address =
-        node.life->catch_up.next_question(at(now_), !node.life->watch.needs_peer(at(now_)), all);
+    const auto address = node.life->catch_up.next_peer_to_query(
+        at(now_), !node.life->watch.needs_peer(at(now_)), all);
     if (!address) {
       return;
     }
@@ -344,7 +344,7 @@
       if (asker.life.get() != asked_in) {
         return;
       }
-      asker.life->catch_up.question_ended();
+      asker.life->catch_up.query_finished();
       if (!lost && !nodes_[peer].frozen) {
         asker.life->watch.take(nodes_[peer].life->watch.state(), std::to_string(peer));
       }
--- a/tests/membership/crash_report_spread_test.cpp
+++ b/tests/membership/crash_report_spread_test.cpp
@@ -130,9 +130,9 @@
       const EvidenceEffect effect = node.quarantine.take(evidence, now_);
       const bool whole = told && report.evidence.size() >= knobs_.crash_limit;
       if (effect == EvidenceEffect::kQuarantined && !whole) {
-        node.spread.tell_all(evidence.request, now_);
+        node.spread.send_to_all(evidence.request, now_);
       } else if (effect == EvidenceEffect::kCounted && !told) {
-        node.spread.tell_witnesses(evidence.request, now_);
+        node.spread.send_to_witnesses(evidence.request, now_);
       }
     }
   }
@@ -285,8 +285,8 @@
   older.capabilities = static_cast<std::uint32_t>(Capability::kCells);
   const TimePoint now{1h};
   quarantine.take(CrashEvidence{kRequest, 1, now}, now);
-  spread.tell_witnesses(kRequest, now);
-  spread.tell_all({1, 1}, now);
+  spread.send_to_witnesses(kRequest, now);
+  spread.send_to_all({1, 1}, now);
   for (const CrashReportSend& send : spread.next({&newer, &older}, now)) {
     BOOST_TEST((send.addresses == std::vector<std::string>{"a"}));
   }
--- a/tests/routing/replica_pace_test.cpp
+++ b/tests/routing/replica_pace_test.cpp
@@ -72,7 +72,7 @@
     all.late += one.late;
     all.turned_away += one.turned_away;
     all.refused += one.refused;
-    all.refused_beside_room += one.refused_beside_room;
+    all.refused_with_free_slots += one.refused_with_free_slots;
   }
   return all;
 }
@@ -271,7 +271,7 @@
   pattern.learn_paces = false;
   const FleetOutcome without = play(pattern, 3);
   pattern.learn_paces = true;
-  pattern.state_paces = true;
+  pattern.replicas_report_load = true;
   const FleetOutcome with = play(pattern, 3);
   BOOST_TEST(2 * with.late < without.late, with.late << " late, without " << without.late);
 }
@@ -285,13 +285,13 @@
   pattern.service_spread = 0.5;
   pattern.mean_per_second = 73;
   pattern.slowed_share = 0.15;
-  pattern.turn_away = true;
+  pattern.reject_when_full = true;
   for (const bool stated : {false, true}) {
-    pattern.state_paces = stated;
+    pattern.replicas_report_load = stated;
     const FleetOutcome outcome = play(pattern, 5);
     BOOST_TEST_MESSAGE("turned away " << outcome.turned_away << ", refused " << outcome.refused
                                       << " of " << outcome.requests);
-    BOOST_TEST(outcome.refused_beside_room == 0);
+    BOOST_TEST(outcome.refused_with_free_slots == 0);
   }
 }
 
--- a/tests/routing/slot_shares_test.cpp
+++ b/tests/routing/slot_shares_test.cpp
@@ -212,7 +212,7 @@
     for (int node = fleet.nodes() / 3; node < fleet.nodes(); ++node) {
       left.push_back(node);
     }
-    fleet.set_known(left);
+    fleet.set_live_nodes(left);
   });
   const FleetOutcome outcome = replay.run(11'600, 6'600);
   BOOST_TEST(outcome.late_share() < 0.01, outcome.late << " of " << outcome.requests << " late");
--- a/tests/support/fleet_replay.cpp
+++ b/tests/support/fleet_replay.cpp
@@ -74,7 +74,7 @@
     }
     all.push_back(number);
   }
-  set_known(all);
+  set_live_nodes(all);
 }
 
 FleetReplay::~FleetReplay() = default;
@@ -103,7 +103,7 @@
   return outcome_;
 }
 
-void FleetReplay::set_known(const std::vector<int>& nodes) {
+void FleetReplay::set_live_nodes(const std::vector<int>& nodes) {
   std::vector<SlotHolder> holders;
   for (const int number : nodes) {
     holders.push_back({node_name(number), zone_name(number % pattern_.zones)});
@@ -197,8 +197,8 @@
     const std::string id = choice.replica->record.id;
     const int place = std::stoi(id.substr(1));
     Replica& replica = replicas_[static_cast<std::size_t>(place)];
-    if (pattern_.turn_away && replica.running >= pattern_.slots) {
-      if (pattern_.state_paces) {
+    if (pattern_.reject_when_full && replica.running >= pattern_.slots) {
+      if (pattern_.replicas_report_load) {
         node.directory.report(id, load_of(replica), at(now));
       }
       node.directory.turned_away(id, at(now));
@@ -221,7 +221,7 @@
   });
   outcome_.requests += counted ? 1 : 0;
   outcome_.refused += counted ? 1 : 0;
-  outcome_.refused_beside_room += counted && room ? 1 : 0;
+  outcome_.refused_with_free_slots += counted && room ? 1 : 0;
 }
 
 void FleetReplay::serve(std::size_t number, std::int64_t now) {
@@ -239,7 +239,7 @@
   const Replica& replica = replicas_[static_cast<std::size_t>(request.replica)];
   const double pace = replica.pace * (replica.slowed ? pattern_.slowed_factor : 1);
   const double time = pattern_.service_ms * std::max(kShortest, length(random_)) * pace;
-  if (pattern_.state_paces) {
+  if (pattern_.replicas_report_load) {
     nodes_[static_cast<std::size_t>(request.node)]->directory.report(replica.id, load_of(replica),
                                                                      at(now));
   }
--- a/tests/support/fleet_replay.hpp
+++ b/tests/support/fleet_replay.hpp
@@ -32,9 +32,9 @@
   double slowed_factor = 2.5;    ///< so many times,
   std::int64_t slowed_ms = 600;  ///< for so long in the mean.
   bool learn_paces = true;
-  bool state_paces = false;            ///< Replicas state their load in answers, and how much they
+  bool replicas_report_load = false;   ///< Replicas state their load in answers, and how much they
                                        ///< are slowed.
-  bool turn_away = false;              ///< Full replicas turn requests away: there is no queue.
+  bool reject_when_full = false;       ///< Full replicas turn requests away: there is no queue.
   std::int64_t digest_ms = 200;        ///< Between the digests of a node.
   std::int64_t digest_delay_ms = 200;  ///< Until the others have it, at most; half of it at least.
   std::int64_t late_ms = 250;          ///< A request that waits longer for its slot is late.
@@ -45,11 +45,11 @@
 struct FleetOutcome {
   int requests = 0;
   int late = 0;
-  int waited = 0;               ///< For a slot, however short.
-  std::vector<double> waits;    ///< In ms.
-  int turned_away = 0;          ///< Attempts, by a replica that was full.
-  int refused = 0;              ///< Requests, by all replicas that were tried,
-  int refused_beside_room = 0;  ///< and that while a replica had a free slot.
+  int waited = 0;                   ///< For a slot, however short.
+  std::vector<double> waits;        ///< In ms.
+  int turned_away = 0;              ///< Attempts, by a replica that was full.
+  int refused = 0;                  ///< Requests, by all replicas that were tried,
+  int refused_with_free_slots = 0;  ///< and that while a replica had a free slot.
 
   double late_share() const { return requests == 0 ? 0 : static_cast<double>(late) / requests; }
   /// @return the wait that so large a share of the requests stays below.
@@ -75,7 +75,7 @@
   /// until `set_known`.
   void kill_node(int node);
   /// The other nodes learn that a node is gone, or is there again.
-  void set_known(const std::vector<int>& nodes);
+  void set_live_nodes(const std::vector<int>& nodes);
   /// Digests of the node are lost from now on, or arrive again.
   void lose_digests(int node, bool lost);
   int nodes() const { return static_cast<int>(nodes_.size()); }
