--- a/include/dockpoint/membership/catch_up.hpp
+++ b/include/dockpoint/membership/catch_up.hpp
@@ -43,14 +43,15 @@
   using Candidates = std::function<std::vector<std::string>(bool own_zone)>;
 
   /// @param seed decides with which node this one begins: after a restart of all, many ask at once.
-  CatchUp(const FreshnessBudget& budget, std::uint64_t seed) : budget_(budget), turn_(seed) {}
+  CatchUp(const FreshnessBudget& budget, std::uint64_t seed)
+      : budget_(budget), next_candidate_(seed) {}
 
   /// How far this node's own knowledge reaches now.
   void set_own_position(const FleetPosition& known);
   /// Another node said how far its knowledge reaches.
   void record_peer_position(const FleetPosition& peer, const std::string& address, TimePoint now);
   /// The question under way was answered or given up.
-  void query_finished() { asking_ = false; }
+  void query_finished() { query_in_flight_ = false; }
   /// @param follows whether this node follows the log.
   /// @return the address of the node to ask now, if any: the question counts as under way.
   std::optional<std::string> next_peer_to_query(TimePoint now, bool follows,
@@ -58,17 +59,17 @@
 
  private:
   bool behind(TimePoint now) const;
-  std::optional<std::string> candidate_in_turn(const Candidates& candidates);
+  std::optional<std::string> rotate_candidate(const Candidates& candidates);
 
   const FreshnessBudget budget_;
   FleetPosition known_;
-  FleetPosition furthest_;    ///< That any peer has told.
-  std::string ahead_;         ///< The peer that was last heard to be ahead; empty once asked.
-  TimePoint behind_since_{};  ///< Peers have read further; zero: none.
-  TimePoint next_in_turn_{};
-  std::uint64_t turn_;
-  std::uint64_t questions_ = 0;
-  bool asking_ = false;
+  FleetPosition furthest_peer_;  ///< That any peer has told.
+  std::string peer_ahead_;       ///< The peer that was last heard to be ahead; empty once asked.
+  TimePoint behind_since_{};     ///< Peers have read further; zero: none.
+  TimePoint next_rotation_at_{};
+  std::uint64_t next_candidate_;
+  std::uint64_t rotation_queries_ = 0;
+  bool query_in_flight_ = false;
 };
 
 }  // namespace dockpoint
--- a/include/dockpoint/membership/cell.hpp
+++ b/include/dockpoint/membership/cell.hpp
@@ -22,7 +22,7 @@
  public:
   /// Larger cells would cost more than the relays do: they arise where nodes are many and replicas
   /// few, and there the whole fleet shares the replicas.
-  static constexpr std::size_t kMostMembers = 48;
+  static constexpr std::size_t kMaximumMembers = 48;
 
   /// @param node,zone of this node.
   Cell(std::string node, std::string zone);
@@ -31,7 +31,8 @@
   /// among them.
   /// @param slices that the zone's replicas are divided into.
   /// @param fewest members of a fleet that divides at all.
-  void update(const std::vector<const Member*>& alive, std::size_t slices, std::size_t fewest);
+  void update(const std::vector<const Member*>& alive, std::size_t slices,
+              std::size_t undivided_limit);
 
   /// @return whether the fleet is divided into cells.
   bool divided() const { return divided_; }
--- a/include/dockpoint/membership/crash_report_spread.hpp
+++ b/include/dockpoint/membership/crash_report_spread.hpp
@@ -36,10 +36,10 @@
   /// A request was quarantined here, by evidence that came in several messages, or cleared.
   void send_to_all(const RequestFingerprint& request, TimePoint now);
   /// This node may have missed what the others know.
-  void catch_up(TimePoint now) { ask_until_ = now + knobs_.crash_catch_up_time; }
+  void catch_up(TimePoint now) { request_until_ = now + knobs_.crash_catch_up_time; }
   /// Another node asks what is decided, or is heard again after a silence and may have missed it.
   /// @param address of it, for datagrams.
-  void answer(const std::string& address) { asked_by_.push_back(address); }
+  void answer(const std::string& address) { requesters_.push_back(address); }
 
   /// @param members that are alive. @return messages that are due.
   std::vector<CrashReportSend> next(const std::vector<const Member*>& members, TimePoint now);
@@ -57,8 +57,8 @@
   std::vector<std::string> others(const std::vector<const Member*>& members) const;
   std::vector<std::string> witnesses(const RequestFingerprint& request,
                                      const std::vector<const Member*>& members) const;
-  void add_due(const std::vector<const Member*>& members, TimePoint now,
-               std::vector<CrashReportSend>& sends);
+  void add_pending_reports(const std::vector<const Member*>& members, TimePoint now,
+                           std::vector<CrashReportSend>& sends);
   void add_gossip(const std::vector<const Member*>& members, TimePoint now,
                   std::vector<CrashReportSend>& sends);
   void add_answers(TimePoint now, std::vector<CrashReportSend>& sends);
@@ -70,10 +70,10 @@
   const std::string node_;
   std::mt19937_64 random_;
   std::deque<PendingReport> pending_;
-  std::vector<std::string> asked_by_;
-  TimePoint ask_until_{};
+  std::vector<std::string> requesters_;
+  TimePoint request_until_{};
   TimePoint next_gossip_{};
-  RequestFingerprint last_told_;  ///< In order of `decided`, by gossip.
+  RequestFingerprint last_gossiped_;  ///< In order of `decided`, by gossip.
 };
 
 }  // namespace dockpoint
--- a/include/dockpoint/membership/digest_collector.hpp
+++ b/include/dockpoint/membership/digest_collector.hpp
@@ -39,7 +39,8 @@
   };
 
   const std::string zone_;
-  std::map<std::uint32_t, bool> heard_;  ///< In this interval; whether the node reaches the log.
+  std::map<std::uint32_t, bool>
+      heartbeats_;  ///< In this interval; whether the node reaches the log.
   std::map<std::uint32_t, Waiting> waiting_;
   std::uint64_t added_ = 0;
 };
--- a/include/dockpoint/membership/load_relay.hpp
+++ b/include/dockpoint/membership/load_relay.hpp
@@ -29,7 +29,7 @@
 
   /// @param node,zone of this node.
   /// @param most_direct nodes up to which everybody tells everybody.
-  LoadRelay(std::string node, std::string zone, std::size_t most_direct = kDirectNodes);
+  LoadRelay(std::string node, std::string zone, std::size_t direct_limit = kDirectNodes);
 
   /// Takes the nodes that are alive and not silent; this node may be among them.
   void set_members(const std::vector<const Member*>& members);
@@ -58,7 +58,7 @@
 
   const std::string node_;
   const std::string zone_;
-  const std::size_t most_direct_;
+  const std::size_t direct_limit_;
   bool direct_ = true;
   std::vector<std::string> all_addresses_;            ///< Without this node.
   std::vector<std::string> zone_addresses_;           ///< Of this node's zone, without this node.
--- a/include/dockpoint/membership/membership.hpp
+++ b/include/dockpoint/membership/membership.hpp
@@ -118,13 +118,13 @@
   void ping_candidate();
   void synchronize();
   /// Adds what is held against `id`, so that it can refute it.
-  void add_accusation(const std::string& id, PeerMessage& message) const;
+  void add_suspicion(const std::string& id, PeerMessage& message) const;
   void set_log_reachable(Entry& entry, bool reachable);
   void answer_sync(const std::string& address);
   void apply(const Member& update, TimePoint now);
   void refute(const Member& rumor);
   void set_state(Entry& entry, MemberState state, TimePoint now);
-  void spread(const Member& member);
+  void enqueue_update(const Member& member);
   std::vector<Member> next_rumors();
   void handle_ack(const PeerMessage& message);
   void handle_ping_request(const PeerMessage& message, TimePoint now);
--- a/include/dockpoint/membership/record_sources.hpp
+++ b/include/dockpoint/membership/record_sources.hpp
@@ -37,9 +37,9 @@
   static constexpr std::size_t kFanOut = 32;
   /// A source that gave no answer is left out for this long: about the time until the membership
   /// protocol knows that it is dead.
-  static constexpr Duration kLeftOut = std::chrono::seconds(5);
+  static constexpr Duration kExclusionTime = std::chrono::seconds(5);
   /// A source that refused is asked again after this time.
-  static constexpr Duration kRefusedPause = std::chrono::milliseconds(200);
+  static constexpr Duration kRefusalRetryDelay = std::chrono::milliseconds(200);
 
   /// @param node,zone of this node.
   /// @param bound on the age of what the node knows.
@@ -67,12 +67,12 @@
  private:
   const std::string node_;
   const std::string zone_;
-  std::vector<std::string> sources_;  ///< In the order in which they are asked.
-  const Duration patience_;           ///< Without an answer, until the log is read.
+  std::vector<std::string> sources_;   ///< In the order in which they are asked.
+  const Duration log_fallback_delay_;  ///< Without an answer, until the log is read.
   bool passes_on_ = true;
-  TimePoint waits_from_{};                     ///< The last success, or failure of the log.
-  int log_failures_ = 0;                       ///< In a row.
-  std::map<std::string, TimePoint> left_out_;  ///< Until when.
+  TimePoint waiting_since_{};                        ///< The last success, or failure of the log.
+  int log_failures_ = 0;                             ///< In a row.
+  std::map<std::string, TimePoint> excluded_until_;  ///< Until when.
 };
 
 }  // namespace dockpoint
--- a/src/membership/cell.cpp
+++ b/src/membership/cell.cpp
@@ -9,7 +9,8 @@
 
 Cell::Cell(std::string node, std::string zone) : node_(std::move(node)), zone_(std::move(zone)) {}
 
-void Cell::update(const std::vector<const Member*>& alive, std::size_t slices, std::size_t fewest) {
+void Cell::update(const std::vector<const Member*>& alive, std::size_t slices,
+                  std::size_t undivided_limit) {
   others_.clear();
   const std::size_t own = ReplicaSubset::slice_of(hash64(node_), slices);
   for (const Member* member : alive) {
@@ -21,7 +22,8 @@
   const bool all_capable = std::all_of(alive.begin(), alive.end(), [](const Member* member) {
     return member->is_capable_of(Capability::kCells);
   });
-  divided_ = slices > 1 && alive.size() > fewest && others_.size() < kMostMembers && all_capable;
+  divided_ = slices > 1 && alive.size() > undivided_limit && others_.size() < kMaximumMembers &&
+             all_capable;
   if (!divided_) {
     others_.clear();
   }
--- a/src/membership/crash_report_spread.cpp
+++ b/src/membership/crash_report_spread.cpp
@@ -30,7 +30,7 @@
 std::vector<CrashReportSend> CrashReportSpread::next(const std::vector<const Member*>& members,
                                                      TimePoint now) {
   std::vector<CrashReportSend> sends;
-  add_due(members, now, sends);
+  add_pending_reports(members, now, sends);
   add_answers(now, sends);
   add_gossip(members, now, sends);
   return sends;
@@ -65,8 +65,8 @@
   return others(chosen);
 }
 
-void CrashReportSpread::add_due(const std::vector<const Member*>& members, TimePoint now,
-                                std::vector<CrashReportSend>& sends) {
+void CrashReportSpread::add_pending_reports(const std::vector<const Member*>& members,
+                                            TimePoint now, std::vector<CrashReportSend>& sends) {
   for (PendingReport& pending : pending_) {
     if (now < pending.next_at) {
       continue;
@@ -80,14 +80,14 @@
 }
 
 void CrashReportSpread::add_answers(TimePoint now, std::vector<CrashReportSend>& sends) {
-  if (asked_by_.empty()) {
+  if (requesters_.empty()) {
     return;
   }
   CrashReport report = next_page(now);
   if (!report.empty()) {
-    sends.push_back({asked_by_, std::move(report)});
+    sends.push_back({requesters_, std::move(report)});
   }
-  asked_by_.clear();
+  requesters_.clear();
 }
 
 void CrashReportSpread::add_gossip(const std::vector<const Member*>& members, TimePoint now,
@@ -97,7 +97,7 @@
   }
   next_gossip_ = now + knobs_.crash_gossip_interval;
   CrashReport report = next_page(now);
-  report.answer_wanted = now < ask_until_;
+  report.answer_wanted = now < request_until_;
   if (report.empty()) {
     return;
   }
@@ -109,13 +109,13 @@
 
 CrashReport CrashReportSpread::next_page(TimePoint now) {
   std::vector<RequestFingerprint> requests = quarantine_.decided(now);
-  const auto start = std::upper_bound(requests.begin(), requests.end(), last_told_);
+  const auto start = std::upper_bound(requests.begin(), requests.end(), last_gossiped_);
   std::rotate(requests.begin(), start, requests.end());
   requests.resize(std::min(requests.size(), knobs_.crash_gossip_requests));
   CrashReport page;
   for (const RequestFingerprint& request : requests) {
     append(page, quarantine_.report(request));
-    last_told_ = request;
+    last_gossiped_ = request;
   }
   return page;
 }
--- a/src/membership/digest_collector.cpp
+++ b/src/membership/digest_collector.cpp
@@ -9,7 +9,7 @@
 DigestCollector::DigestCollector(std::string zone) : zone_(std::move(zone)) {}
 
 void DigestCollector::add(std::uint32_t node, bool log_reachable, std::string bytes) {
-  heard_[node] = log_reachable;
+  heartbeats_[node] = log_reachable;
   const auto [waiting, added] = waiting_.try_emplace(node, Waiting{added_, {}});
   waiting->second.bytes = std::move(bytes);
   ++added_;
@@ -17,7 +17,7 @@
 
 LoadCollection DigestCollector::next(std::size_t maximum_bytes) {
   LoadCollection collection{zone_, false, {}, {}, {}};
-  for (const auto& [node, log_reachable] : heard_) {
+  for (const auto& [node, log_reachable] : heartbeats_) {
     (log_reachable ? collection.reaching_log : collection.cut_off).push_back(node);
   }
   std::vector<std::pair<std::uint64_t, std::uint32_t>> order;
@@ -25,7 +25,7 @@
     order.emplace_back(waiting.since, node);
   }
   std::sort(order.begin(), order.end());
-  std::size_t size = collection_overhead(zone_, heard_.size());
+  std::size_t size = collection_overhead(zone_, heartbeats_.size());
   for (const auto& [since, node] : order) {
     const auto waiting = waiting_.find(node);
     const std::size_t added = waiting->second.bytes.size() + kDigestOverhead;
@@ -37,7 +37,7 @@
     collection.digests.push_back(std::move(waiting->second.bytes));
     waiting_.erase(waiting);
   }
-  heard_.clear();
+  heartbeats_.clear();
   return collection;
 }
 
--- a/src/membership/load_relay.cpp
+++ b/src/membership/load_relay.cpp
@@ -6,11 +6,11 @@
 
 namespace dockpoint {
 
-LoadRelay::LoadRelay(std::string node, std::string zone, std::size_t most_direct)
-    : node_(std::move(node)), zone_(std::move(zone)), most_direct_(most_direct) {}
+LoadRelay::LoadRelay(std::string node, std::string zone, std::size_t direct_limit)
+    : node_(std::move(node)), zone_(std::move(zone)), direct_limit_(direct_limit) {}
 
 void LoadRelay::set_members(const std::vector<const Member*>& members) {
-  direct_ = members.size() <= most_direct_;
+  direct_ = members.size() <= direct_limit_;
   all_addresses_.clear();
   zone_addresses_.clear();
   relays_.clear();
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -49,7 +49,7 @@
     case PeerMessageType::kPing: {
       PeerMessage ack = make_message(PeerMessageType::kAck);
       ack.sequence = message.sequence;
-      add_accusation(message.sender.id, ack);
+      add_suspicion(message.sender.id, ack);
       sender_.send(message.sender.peer_address, ack);
       break;
     }
@@ -197,7 +197,7 @@
     probe_ = Probe{target, now, false};
     PeerMessage ping = make_message(PeerMessageType::kPing);
     ping.sequence = probe_sequence_;
-    add_accusation(target, ping);
+    add_suspicion(target, ping);
     sender_.send(members_.at(target).member.peer_address, ping);
     return;
   }
@@ -277,13 +277,13 @@
   PeerMessage request = make_message(PeerMessageType::kSyncRequest);
   for (const auto& [id, entry] : members_) {
     if (entry.member.peer_address == address) {
-      add_accusation(id, request);
+      add_suspicion(id, request);
     }
   }
   sender_.send(address, request);
 }
 
-void Membership::add_accusation(const std::string& id, PeerMessage& message) const {
+void Membership::add_suspicion(const std::string& id, PeerMessage& message) const {
   const auto found = members_.find(id);
   if (found != members_.end() && found->second.member.state != MemberState::kAlive) {
     message.updates.push_back(found->second.member);
@@ -336,7 +336,7 @@
     }
     members_[update.id] = Entry{update, now};
     ++version_;
-    spread(update);
+    enqueue_update(update);
     return;
   }
   Entry& entry = known->second;
@@ -350,7 +350,7 @@
     entry.state_since = now;
   }
   version_ += state_changes || capabilities_change ? 1 : 0;
-  spread(update);
+  enqueue_update(update);
 }
 
 void Membership::refute(const Member& rumor) {
@@ -358,32 +358,32 @@
     return;
   }
   self_.incarnation = rumor.incarnation + 1;
-  spread(self_);
+  enqueue_update(self_);
 }
 
 void Membership::set_state(Entry& entry, MemberState state, TimePoint now) {
   entry.member.state = state;
   entry.state_since = now;
   ++version_;
-  spread(entry.member);
+  enqueue_update(entry.member);
 }
 
-void Membership::spread(const Member& member) {
+void Membership::enqueue_update(const Member& member) {
   rumors_[member.id] = Rumor{member, 0};
 }
 
 std::vector<Member> Membership::next_rumors() {
-  std::vector<Rumor*> fresh;
+  std::vector<Rumor*> pending;
   for (auto& [id, rumor] : rumors_) {
-    fresh.push_back(&rumor);
+    pending.push_back(&rumor);
   }
-  std::stable_sort(fresh.begin(), fresh.end(),
+  std::stable_sort(pending.begin(), pending.end(),
                    [](const Rumor* left, const Rumor* right) { return left->sent < right->sent; });
-  if (fresh.size() > knobs_.updates_per_message) {
-    fresh.resize(knobs_.updates_per_message);
+  if (pending.size() > knobs_.updates_per_message) {
+    pending.resize(knobs_.updates_per_message);
   }
   std::vector<Member> chosen;
-  for (Rumor* rumor : fresh) {
+  for (Rumor* rumor : pending) {
     ++rumor->sent;
     chosen.push_back(rumor->member);
   }
--- a/src/membership/record_sources.cpp
+++ b/src/membership/record_sources.cpp
@@ -11,10 +11,12 @@
 /// The order of readers differs from that of relays of load: one node would be both.
 constexpr std::uint64_t kOrderSeed = 0x4ec0;
 
-struct Place {
+struct RankedMember {
   std::uint64_t hash = 0;
   const Member* member = nullptr;
-  friend bool operator<(const Place& left, const Place& right) { return left.hash < right.hash; }
+  friend bool operator<(const RankedMember& left, const RankedMember& right) {
+    return left.hash < right.hash;
+  }
 };
 
 /// @return how many of a zone's nodes pass records on.
@@ -29,14 +31,14 @@
 RecordSources::RecordSources(std::string node, std::string zone, Duration bound)
     : node_(std::move(node)),
       zone_(std::move(zone)),
-      patience_(bound / 4 +
-                std::chrono::duration_cast<Duration>(bound / 4 * fraction_of(hash64(node_)))) {}
+      log_fallback_delay_(bound / 4 + std::chrono::duration_cast<Duration>(
+                                          bound / 4 * fraction_of(hash64(node_)))) {}
 
 void RecordSources::update(const std::vector<const Member*>& alive) {
-  std::vector<Place> order;
+  std::vector<RankedMember> order;
   for (const Member* member : alive) {
-    const bool able = member->is_capable_of(Capability::kRecords);
-    if (able && member->zone == zone_ && !member->control_address.empty()) {
+    const bool capable = member->is_capable_of(Capability::kRecords);
+    if (capable && member->zone == zone_ && !member->control_address.empty()) {
       order.push_back({hash64(member->id, kOrderSeed), member});
     }
   }
@@ -44,8 +46,9 @@
   std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(passing_on),
                     order.end());
   order.resize(passing_on);
-  const auto own = std::find_if(order.begin(), order.end(),
-                                [&](const Place& place) { return place.member->id == node_; });
+  const auto own = std::find_if(order.begin(), order.end(), [&](const RankedMember& ranked) {
+    return ranked.member->id == node_;
+  });
   passes_on_ = own != order.end();
   const std::size_t rank = static_cast<std::size_t>(own - order.begin());
   sources_.clear();
@@ -58,39 +61,39 @@
     order.erase(order.begin(), order.begin() + kReaders);  // They answer those that pass on.
   }
   // Each node begins with another one.
-  std::sort(order.begin(), order.end(), [&](const Place& left, const Place& right) {
+  std::sort(order.begin(), order.end(), [&](const RankedMember& left, const RankedMember& right) {
     return hash64(node_, left.hash) > hash64(node_, right.hash);
   });
-  for (const Place& place : order) {
-    sources_.push_back(place.member->control_address);
+  for (const RankedMember& ranked : order) {
+    sources_.push_back(ranked.member->control_address);
   }
 }
 
 std::optional<std::string> RecordSources::next(TimePoint now) {
-  std::erase_if(left_out_, [&](const auto& entry) { return now >= entry.second; });
+  std::erase_if(excluded_until_, [&](const auto& entry) { return now >= entry.second; });
   const auto source = std::find_if(sources_.begin(), sources_.end(), [&](const auto& address) {
-    return !left_out_.contains(address);
+    return !excluded_until_.contains(address);
   });
   return source == sources_.end() ? std::nullopt : std::optional(*source);
 }
 
 bool RecordSources::may_read_log(TimePoint now) const {
-  return sources_.empty() || now - waits_from_ >= patience_ * (1 << log_failures_);
+  return sources_.empty() || now - waiting_since_ >= log_fallback_delay_ * (1 << log_failures_);
 }
 
 void RecordSources::succeeded(TimePoint now) {
-  waits_from_ = now;
+  waiting_since_ = now;
   log_failures_ = 0;
 }
 
 void RecordSources::log_failed(TimePoint now) {
-  constexpr int kMostDoublings = 4;
-  waits_from_ = now;
-  log_failures_ = std::min(log_failures_ + 1, kMostDoublings);
+  constexpr int kMaximumDoublings = 4;
+  waiting_since_ = now;
+  log_failures_ = std::min(log_failures_ + 1, kMaximumDoublings);
 }
 
 void RecordSources::failed(const std::string& address, bool refused, TimePoint now) {
-  left_out_[address] = now + (refused ? kRefusedPause : kLeftOut);
+  excluded_until_[address] = now + (refused ? kRefusalRetryDelay : kExclusionTime);
 }
 
 }  // namespace dockpoint
--- a/tests/membership/cell_test.cpp
+++ b/tests/membership/cell_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kFewest = 20;
+constexpr std::size_t kUndividedLimit = 20;
 
 std::vector<Member> fleet_of(std::size_t nodes, std::size_t zones) {
   std::vector<Member> members;
@@ -36,12 +36,12 @@
 BOOST_AUTO_TEST_SUITE(cell)
 
 BOOST_AUTO_TEST_CASE(a_small_fleet_and_one_whose_replicas_are_not_divided_have_no_cells) {
-  const std::vector<Member> small = fleet_of(kFewest, 2);
+  const std::vector<Member> small = fleet_of(kUndividedLimit, 2);
   Cell cell("node-0", "zone-0");
-  cell.update(pointers(small), 8, kFewest);
+  cell.update(pointers(small), 8, kUndividedLimit);
   BOOST_TEST(!cell.divided());
   const std::vector<Member> large = fleet_of(300, 3);
-  cell.update(pointers(large), 1, kFewest);
+  cell.update(pointers(large), 1, kUndividedLimit);
   BOOST_TEST(!cell.divided());
 }
 
@@ -54,13 +54,13 @@
     std::map<std::string, std::set<std::string>> cells;
     for (const Member& member : members) {
       Cell cell(member.id, member.zone);
-      cell.update(alive, slices, kFewest);
+      cell.update(alive, slices, kUndividedLimit);
       BOOST_TEST_REQUIRE(cell.divided());
       for (const Member* other : cell.others()) {
         BOOST_TEST(other->zone == member.zone);
         cells[member.id].insert(other->id);
       }
-      BOOST_TEST(cells[member.id].size() < Cell::kMostMembers);
+      BOOST_TEST(cells[member.id].size() < Cell::kMaximumMembers);
     }
     for (const auto& [node, others] : cells) {
       for (const std::string& other : others) {
@@ -75,10 +75,10 @@
   std::vector<Member> members = fleet_of(300, 3);
   members[77].capabilities = 0;
   Cell cell("node-0", "zone-0");
-  cell.update(pointers(members), 4, kFewest);
+  cell.update(pointers(members), 4, kUndividedLimit);
   BOOST_TEST(!cell.divided());
   members[77].capabilities = static_cast<std::uint32_t>(Capability::kCells);
-  cell.update(pointers(members), 4, kFewest);
+  cell.update(pointers(members), 4, kUndividedLimit);
   BOOST_TEST(cell.divided());
 }
 
--- a/tests/membership/crash_report_spread_test.cpp
+++ b/tests/membership/crash_report_spread_test.cpp
@@ -44,7 +44,7 @@
   std::uint64_t bytes() const { return bytes_; }
 
   /// A replica ends under the request; the node sees it.
-  void end_at(std::size_t node, std::uint64_t replica) {
+  void report_crash(std::size_t node, std::uint64_t replica) {
     apply(node, {{{kRequest, combine_hash(1, replica), now_}}, {}, false}, false);
   }
   /// The node starts anew and knows nothing.
@@ -52,12 +52,12 @@
     nodes_[node] = std::make_unique<Node>(knobs_, members_[node].id, random_());
     nodes_[node]->spread.catch_up(now_);
   }
-  void cut(std::size_t node) { cut_.insert(node); }
+  void disconnect(std::size_t node) { disconnected_.insert(node); }
   /// The way is free again; those on both its sides notice that they hear each other.
-  void heal(std::size_t node) {
-    cut_.erase(node);
+  void reconnect(std::size_t node) {
+    disconnected_.erase(node);
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
-      if (other != node && !cut_.contains(other)) {
+      if (other != node && !disconnected_.contains(other)) {
         nodes_[other]->spread.answer(members_[node].peer_address);
         nodes_[node]->spread.answer(members_[other].peer_address);
       }
@@ -75,13 +75,13 @@
     }
   }
 
-  bool knows(std::size_t node) const {
+  bool is_quarantined(std::size_t node) const {
     return nodes_[node]->quarantine.check(kRequest, now_).has_value();
   }
-  std::size_t knowing() const {
+  std::size_t informed_nodes() const {
     std::size_t count = 0;
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
-      count += knows(node) ? 1 : 0;
+      count += is_quarantined(node) ? 1 : 0;
     }
     return count;
   }
@@ -105,7 +105,7 @@
       const auto to = static_cast<std::size_t>(std::stoul(address));
       bytes_ += size;
       const bool lost = std::uniform_real_distribution<>(0, 1)(random_) < kLoss;
-      if (!lost && !cut_.contains(from) && !cut_.contains(to)) {
+      if (!lost && !disconnected_.contains(from) && !disconnected_.contains(to)) {
         const auto delay = Duration(random_() % static_cast<std::uint64_t>(kLongestDelay.count()));
         messages_.emplace(now_ + delay, Message{from, to, send.report});
       }
@@ -124,14 +124,14 @@
   }
 
   /// What the gateway does with evidence of its own and of others.
-  void apply(std::size_t index, const CrashReport& report, bool told) {
+  void apply(std::size_t index, const CrashReport& report, bool received) {
     Node& node = *nodes_[index];
     for (const CrashEvidence& evidence : report.evidence) {
       const EvidenceEffect effect = node.quarantine.take(evidence, now_);
-      const bool whole = told && report.evidence.size() >= knobs_.crash_limit;
+      const bool whole = received && report.evidence.size() >= knobs_.crash_limit;
       if (effect == EvidenceEffect::kQuarantined && !whole) {
         node.spread.send_to_all(evidence.request, now_);
-      } else if (effect == EvidenceEffect::kCounted && !told) {
+      } else if (effect == EvidenceEffect::kCounted && !received) {
         node.spread.send_to_witnesses(evidence.request, now_);
       }
     }
@@ -143,7 +143,7 @@
   std::vector<const Member*> alive_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::multimap<TimePoint, Message> messages_;
-  std::set<std::size_t> cut_;
+  std::set<std::size_t> disconnected_;
   TimePoint now_ = TimePoint(std::chrono::hours(1));
   std::uint64_t bytes_ = 0;
 };
@@ -157,17 +157,17 @@
     for (std::uint64_t seed = 1; seed <= (size > 100 ? 5U : 100U); ++seed) {
       Fleet fleet(size, seed);
       for (std::uint64_t replica = 0; replica < 3; ++replica) {
-        fleet.end_at(replica % size, replica);
+        fleet.report_crash(replica % size, replica);
         fleet.run_for(200ms);
       }
       fleet.run_for(kSpreadLimit - 200ms);
-      BOOST_TEST(fleet.knowing() == size, "size " << size << " seed " << seed);
+      BOOST_TEST(fleet.informed_nodes() == size, "size " << size << " seed " << seed);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_comes_again_and_again_reaches_no_replica_once_it_is_known) {
-  constexpr Duration kReturn = std::chrono::milliseconds(100);
+  constexpr Duration kRequestInterval = std::chrono::milliseconds(100);
   int most = 0;
   for (const std::size_t size : {10, 40}) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
@@ -176,11 +176,11 @@
       std::vector<TimePoint> ends;
       for (int round = 0; round < 100; ++round) {
         const std::size_t node = random() % size;
-        if (!fleet.knows(node)) {
-          fleet.end_at(node, ends.size());
+        if (!fleet.is_quarantined(node)) {
+          fleet.report_crash(node, ends.size());
           ends.push_back(fleet.now());
         }
-        fleet.run_for(kReturn);
+        fleet.run_for(kRequestInterval);
       }
       BOOST_REQUIRE(ends.size() >= 3U);
       BOOST_TEST((ends.back() <= ends[2] + kSpreadLimit), "size " << size << " seed " << seed);
@@ -192,47 +192,47 @@
 
 BOOST_AUTO_TEST_CASE(two_ends_quarantine_nothing_anywhere) {
   Fleet fleet(10, 1);
-  fleet.end_at(0, 1);
-  fleet.end_at(1, 2);
-  fleet.end_at(2, 2);
+  fleet.report_crash(0, 1);
+  fleet.report_crash(1, 2);
+  fleet.report_crash(2, 2);
   fleet.run_for(10s);
-  BOOST_TEST(fleet.knowing() == 0U);
+  BOOST_TEST(fleet.informed_nodes() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_node_that_was_cut_off_or_started_knows_in_time) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Fleet fleet(10, seed);
     for (std::size_t node = 5; node < 10; ++node) {
-      fleet.cut(node);
+      fleet.disconnect(node);
     }
     for (std::uint64_t replica = 0; replica < 3; ++replica) {
-      fleet.end_at(replica, replica);
+      fleet.report_crash(replica, replica);
     }
     fleet.run_for(20s);
-    BOOST_TEST(!fleet.knows(7));
+    BOOST_TEST(!fleet.is_quarantined(7));
     for (std::size_t node = 5; node < 10; ++node) {
-      fleet.heal(node);
+      fleet.reconnect(node);
     }
     fleet.restart(0);
     fleet.run_for(kSpreadLimit);
-    BOOST_TEST(fleet.knowing() == 10U, "seed " << seed);
+    BOOST_TEST(fleet.informed_nodes() == 10U, "seed " << seed);
   }
 }
 
 BOOST_AUTO_TEST_CASE(ends_seen_on_both_sides_of_a_cut_are_added_up_after_it) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Fleet fleet(10, seed);
-    fleet.cut(9);
-    fleet.end_at(0, 1);
-    fleet.end_at(1, 2);
-    fleet.end_at(9, 3);
+    fleet.disconnect(9);
+    fleet.report_crash(0, 1);
+    fleet.report_crash(1, 2);
+    fleet.report_crash(9, 3);
     fleet.run_for(20s);
-    BOOST_TEST(fleet.knowing() == 0U);
-    fleet.heal(9);
+    BOOST_TEST(fleet.informed_nodes() == 0U);
+    fleet.reconnect(9);
     // The request comes once more, and is known from then on.
-    fleet.end_at(9, 4);
+    fleet.report_crash(9, 4);
     fleet.run_for(kSpreadLimit);
-    BOOST_TEST(fleet.knowing() == 10U, "seed " << seed);
+    BOOST_TEST(fleet.informed_nodes() == 10U, "seed " << seed);
   }
 }
 
@@ -241,7 +241,7 @@
     Knobs knobs;
     knobs.crash_witnesses = witnesses;
     Fleet fleet(size, 1, knobs);
-    fleet.end_at(0, 1);
+    fleet.report_crash(0, 1);
     fleet.run_for(5s);
     return fleet.bytes();
   };
@@ -257,7 +257,7 @@
   const auto bytes_of_node = [](std::size_t size) {
     Fleet fleet(size, 1);
     for (std::uint64_t replica = 0; replica < 3; ++replica) {
-      fleet.end_at(0, replica);
+      fleet.report_crash(0, replica);
     }
     fleet.run_for(2s);
     return fleet.bytes() / size;
--- a/tests/membership/digest_collector_test.cpp
+++ b/tests/membership/digest_collector_test.cpp
@@ -45,9 +45,9 @@
   constexpr std::size_t kReplicasOfNode = 40;
   constexpr int kMostRounds = 100;
   DigestCollector collector("a");
-  std::set<std::uint32_t> told;
+  std::set<std::uint32_t> received;
   int rounds = 0;
-  while (told.size() < kNodes && rounds < kMostRounds) {
+  while (received.size() < kNodes && rounds < kMostRounds) {
     for (std::uint32_t node = 1; node <= kNodes; ++node) {
       collector.add(node, true, digest_of(node, kReplicasOfNode, 1));
     }
@@ -56,10 +56,10 @@
     BOOST_TEST(encode(collection).size() <= kDatagram);
     const std::set<std::uint32_t> now = nodes_of(collection);
     BOOST_TEST(!now.empty());
-    told.insert(now.begin(), now.end());
+    received.insert(now.begin(), now.end());
     ++rounds;
   }
-  BOOST_TEST(told.size() == kNodes);
+  BOOST_TEST(received.size() == kNodes);
 }
 
 BOOST_AUTO_TEST_CASE(a_newer_digest_takes_the_place_of_one_that_waits) {
@@ -68,10 +68,10 @@
   collector.add(2, true, digest_of(2, 60, 1));
   collector.add(2, true, digest_of(2, 60, 9));
   BOOST_TEST(collector.waiting() == 2U);
-  constexpr std::size_t kRoomForOne = 700;
-  BOOST_TEST(nodes_of(collector.next(kRoomForOne)) == std::set<std::uint32_t>{1},
+  constexpr std::size_t kOneDigestBytes = 700;
+  BOOST_TEST(nodes_of(collector.next(kOneDigestBytes)) == std::set<std::uint32_t>{1},
              boost::test_tools::per_element());
-  const LoadCollection second = collector.next(kRoomForOne);
+  const LoadCollection second = collector.next(kOneDigestBytes);
   BOOST_TEST_REQUIRE(second.digests.size() == 1U);
   BOOST_TEST(decode_load_digest(second.digests[0])->entries[0].in_flight == 9U);
 }
--- a/tests/membership/load_relay_test.cpp
+++ b/tests/membership/load_relay_test.cpp
@@ -42,7 +42,7 @@
 
   /// One interval: every node sends its digest, relays send what they have collected.
   /// @return by address, the nodes of whose digest it was told.
-  std::map<std::string, std::set<std::string>> play(const std::set<std::string>& dead) {
+  std::map<std::string, std::set<std::string>> run_interval(const std::set<std::string>& dead) {
     std::map<std::string, std::set<std::string>> heard;
     std::map<std::string, std::set<std::string>> collected;
     for (const Member& member : members_) {
@@ -110,8 +110,8 @@
   for (const Member& member : fleet.members()) {
     for (const Member& other : fleet.members()) {
       const bool matters = !dead.contains(member.id) && !dead.contains(other.id);
-      const bool told = member.id == other.id || heard[member.peer_address].contains(other.id);
-      count += matters && !told ? 1 : 0;
+      const bool received = member.id == other.id || heard[member.peer_address].contains(other.id);
+      count += matters && !received ? 1 : 0;
     }
   }
   return count;
@@ -123,14 +123,14 @@
 
 BOOST_AUTO_TEST_CASE(a_small_fleet_tells_everybody_directly) {
   Fleet fleet(5);
-  BOOST_TEST(missing(fleet, {}, fleet.play({})) == 0U);
+  BOOST_TEST(missing(fleet, {}, fleet.run_interval({})) == 0U);
   BOOST_TEST(fleet.sent() == 15U * 14U);
 }
 
 BOOST_AUTO_TEST_CASE(in_a_large_fleet_everybody_hears_of_everybody_each_round) {
   Fleet fleet(30);
   for (int round = 0; round < 4; ++round) {
-    BOOST_TEST(missing(fleet, {}, fleet.play({})) == 0U);
+    BOOST_TEST(missing(fleet, {}, fleet.run_interval({})) == 0U);
   }
   // Each round: a digest a node, and each of two relays a zone tells its zone and two others'.
   BOOST_TEST(fleet.sent() < 4U * 700U);
@@ -139,13 +139,13 @@
 BOOST_AUTO_TEST_CASE(a_dead_relay_costs_every_second_digest_until_it_is_left_out) {
   Fleet fleet(30);
   const std::set<std::string> dead{fleet.relay_of("a")};
-  auto heard = fleet.play(dead);
-  for (const auto& [address, digests] : fleet.play(dead)) {
+  auto heard = fleet.run_interval(dead);
+  for (const auto& [address, digests] : fleet.run_interval(dead)) {
     heard[address].insert(digests.begin(), digests.end());
   }
   BOOST_TEST(missing(fleet, dead, heard) == 0U);
   fleet.set_members(dead);
-  BOOST_TEST(missing(fleet, dead, fleet.play(dead)) == 0U);
+  BOOST_TEST(missing(fleet, dead, fleet.run_interval(dead)) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_zone_of_one_node_and_an_empty_fleet_are_served) {
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -34,15 +34,15 @@
   }
 
   Membership& operator[](const std::string& name) { return *nodes_.at(name)->membership; }
-  void cut(const std::string& name) { cut_.insert(name); }
-  void join(const std::string& name) { cut_.erase(name); }
+  void disconnect(const std::string& name) { disconnected_.insert(name); }
+  void reconnect(const std::string& name) { disconnected_.erase(name); }
 
   /// Passes time in steps of 100 ms.
   void run(int milliseconds) {
     for (int step = 0; step < milliseconds / 100; ++step) {
       now_ += 100;
       for (auto& [name, node] : nodes_) {
-        if (!cut_.contains(name)) {
+        if (!disconnected_.contains(name)) {
           node->membership->tick(at(now_));
         }
       }
@@ -70,7 +70,8 @@
     while (!wire_.empty()) {
       const Datagram datagram = wire_.front();
       wire_.pop_front();
-      const bool lost = cut_.contains(datagram.from) || cut_.contains(datagram.to);
+      const bool lost =
+          disconnected_.contains(datagram.from) || disconnected_.contains(datagram.to);
       if (!lost && nodes_.contains(datagram.to)) {
         const auto message = decode_peer_message(datagram.bytes);
         BOOST_TEST_REQUIRE(message.has_value());
@@ -81,7 +82,7 @@
 
   Knobs knobs_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
-  std::set<std::string> cut_;
+  std::set<std::string> disconnected_;
   std::deque<Datagram> wire_;
   std::int64_t now_ = 0;
 };
@@ -101,11 +102,11 @@
 BOOST_AUTO_TEST_CASE(a_lost_member_is_dead_everywhere_and_comes_back) {
   Cluster cluster(5);
   cluster.run(5'000);
-  cluster.cut("n3");
+  cluster.disconnect("n3");
   cluster.run(15'000);
   BOOST_TEST(!cluster["n0"].is_alive("n3"));
   BOOST_TEST(!cluster["n4"].is_alive("n3"));
-  cluster.join("n3");
+  cluster.reconnect("n3");
   cluster.run(15'000);
   BOOST_TEST(cluster["n0"].is_alive("n3"));
   BOOST_TEST(cluster["n4"].is_alive("n3"));
--- a/tests/support/fleet_replay.cpp
+++ b/tests/support/fleet_replay.cpp
@@ -91,7 +91,7 @@
     }
     end_requests(now);
     change_paces(now);
-    tell_loads(now);
+    send_digests(now);
     deliver(now);
     const bool low = now % (pattern_.low_ms + pattern_.high_ms) < pattern_.low_ms;
     const double rate = pattern_.mean_per_second * (low ? pattern_.low : pattern_.high);
@@ -120,7 +120,7 @@
   }
 }
 
-void FleetReplay::lose_digests(int node, bool lost) {
+void FleetReplay::drop_digests(int node, bool lost) {
   nodes_[static_cast<std::size_t>(node)]->digests_lost = lost;
 }
 
@@ -145,7 +145,7 @@
   return {replica.running, static_cast<int>(replica.waiting.size()), pattern_.slots, pace, false};
 }
 
-void FleetReplay::tell_loads(std::int64_t now) {
+void FleetReplay::send_digests(std::int64_t now) {
   std::uniform_int_distribution<std::int64_t> delay(pattern_.digest_delay_ms / 2,
                                                     pattern_.digest_delay_ms);
   for (int number = 0; number < nodes(); ++number) {
@@ -166,11 +166,12 @@
       ++digest;
       continue;
     }
-    LoadDigest told{node_key(node_name(digest->from)), 0, 0, true, 0, digest->entries};
-    told.paces = digest->paces;
+    LoadDigest digest_received{node_key(node_name(digest->from)), 0, 0, true, 0, digest->entries};
+    digest_received.paces = digest->paces;
     for (int number = 0; number < nodes(); ++number) {
       if (number != digest->from) {
-        nodes_[static_cast<std::size_t>(number)]->directory.set_peer_loads({told}, at(now));
+        nodes_[static_cast<std::size_t>(number)]->directory.set_peer_loads({digest_received},
+                                                                           at(now));
       }
     }
     digest = digests_.erase(digest);
@@ -183,10 +184,10 @@
   while (!nodes_[static_cast<std::size_t>(number)]->alive) {
     number = any_node(random_);
   }
-  send_until_taken(number, now, counted);
+  send_with_retries(number, now, counted);
 }
 
-void FleetReplay::send_until_taken(int number, std::int64_t now, bool counted) {
+void FleetReplay::send_with_retries(int number, std::int64_t now, bool counted) {
   Node& node = *nodes_[static_cast<std::size_t>(number)];
   ReplicaQuery query{kService, TrafficClass::kOnline, {{7, 100}, {8, 250}}, {}};
   for (int sends = 0; sends < knobs_.maximum_sends_not_run; ++sends) {
--- a/tests/support/fleet_replay.hpp
+++ b/tests/support/fleet_replay.hpp
@@ -77,7 +77,7 @@
   /// The other nodes learn that a node is gone, or is there again.
   void set_live_nodes(const std::vector<int>& nodes);
   /// Digests of the node are lost from now on, or arrive again.
-  void lose_digests(int node, bool lost);
+  void drop_digests(int node, bool lost);
   int nodes() const { return static_cast<int>(nodes_.size()); }
 
  private:
@@ -111,11 +111,11 @@
   };
 
   void change_paces(std::int64_t now);
-  void tell_loads(std::int64_t now);
+  void send_digests(std::int64_t now);
   void deliver(std::int64_t now);
   void arrive(std::int64_t now, bool counted);
   /// Sends a request to another replica until one takes it.
-  void send_until_taken(int node, std::int64_t now, bool counted);
+  void send_with_retries(int node, std::int64_t now, bool counted);
   /// @return the load header of an answer.
   ReportedLoad load_of(const Replica& replica) const;
   void serve(std::size_t request, std::int64_t now);
