--- a/include/dockpoint/membership/crash_report_spread.hpp
+++ b/include/dockpoint/membership/crash_report_spread.hpp
@@ -8,20 +8,20 @@
 #include "dockpoint/admission/request_quarantine.hpp"
 #include "dockpoint/membership/member.hpp"
 
-/// Whom a node tells of requests that crash replicas, and when.
+/// Decides when crash reports of requests are sent, and to which nodes.
 ///
-/// The end of a replica is told to a few witnesses: the members that rendezvous hashing of the
-/// request names, so that all nodes tell the same ones. Whoever has all evidence together tells
-/// everybody. So an end, of which there are many when replicas crash for other reasons, costs the
-/// same in a fleet of any size, and only a verdict costs a message a node.
-/// Reports are repeated, since datagrams get lost. Beyond that each node tells random members what
-/// is decided, for nodes that were cut off or not running, and a node that has just started, or was
-/// paused, asks.
+/// A crash of a replica is reported to a few witnesses: the members that rendezvous hashing of the
+/// request selects, so that all nodes report to the same ones. A node that has collected all the
+/// evidence sends it to all members. Thus a single crash, of which there are many when replicas
+/// fail for other reasons, costs the same in a fleet of any size, and only a quarantine decision
+/// costs one message per node. Reports are repeated because datagrams get lost. In addition, each
+/// node gossips decided requests to random members, for nodes that were cut off or not running, and
+/// a node that has just started or was suspended requests them.
 namespace dockpoint {
 
-/// A message and where it goes.
+/// A crash report and its recipients.
 struct CrashReportSend {
-  std::vector<std::string> addresses;  ///< For datagrams.
+  std::vector<std::string> addresses;  ///< Peer addresses, for datagrams.
   CrashReport report;
 };
 
@@ -31,21 +31,24 @@
   CrashReportSpread(const Knobs& knobs, const RequestQuarantine& quarantine, std::string node,
                     std::uint64_t seed);
 
-  /// This node saw a replica end under a request.
+  /// Schedules reports to the witnesses, after this node saw a replica crash under a request.
   void send_to_witnesses(const RequestFingerprint& request, TimePoint now);
-  /// A request was quarantined here, by evidence that came in several messages, or cleared.
+  /// Schedules reports to all members, after a request was quarantined here by evidence from
+  /// several messages, or cleared.
   void send_to_all(const RequestFingerprint& request, TimePoint now);
-  /// This node may have missed what the others know.
+  /// Requests the decisions of other nodes for a while, since this node may have missed some.
   void catch_up(TimePoint now) { request_until_ = now + knobs_.crash_catch_up_time; }
-  /// Another node asks what is decided, or is heard again after a silence and may have missed it.
-  /// @param address of it, for datagrams.
+  /// Queues an answer to a node that requests decisions, or that is reachable again and may have
+  /// missed some.
+  /// @param address its address for datagrams.
   void answer(const std::string& address) { requesters_.push_back(address); }
 
-  /// @param members that are alive. @return messages that are due.
+  /// @param members the live members.
+  /// @return the messages that are due.
   std::vector<CrashReportSend> next(const std::vector<const Member*>& members, TimePoint now);
 
  private:
-  /// A report of one request that is sent a few times.
+  /// A report on one request that is sent for several rounds.
   struct PendingReport {
     RequestFingerprint request;
     bool to_all = false;
@@ -53,7 +56,7 @@
     TimePoint next_at{};
   };
 
-  /// @return addresses of other members that know such reports.
+  /// @return addresses of the other members that support crash reports.
   std::vector<std::string> others(const std::vector<const Member*>& members) const;
   std::vector<std::string> witnesses(const RequestFingerprint& request,
                                      const std::vector<const Member*>& members) const;
@@ -62,7 +65,7 @@
   void add_gossip(const std::vector<const Member*>& members, TimePoint now,
                   std::vector<CrashReportSend>& sends);
   void add_answers(TimePoint now, std::vector<CrashReportSend>& sends);
-  /// @return a report of decided requests, other ones each time.
+  /// @return a report with the next decided requests, in rotation.
   CrashReport next_page(TimePoint now);
 
   const Knobs& knobs_;
@@ -73,7 +76,7 @@
   std::vector<std::string> requesters_;
   TimePoint request_until_{};
   TimePoint next_gossip_{};
-  RequestFingerprint last_gossiped_;  ///< In order of `decided`, by gossip.
+  RequestFingerprint last_gossiped_;  ///< Position of the rotation, in the order of `decided`.
 };
 
 }  // namespace dockpoint
--- a/src/membership/catch_up.cpp
+++ b/src/membership/catch_up.cpp
@@ -50,8 +50,8 @@
 }
 
 std::optional<std::string> CatchUp::rotate_candidate(const Candidates& candidates) {
-  // Bytes between zones are dear, but a zone may know nothing as a whole: every second question
-  // goes to any zone.
+  // Traffic between zones is expensive, but all nodes of a zone may lack the state: every second
+  // query may go to any zone.
   const bool own_zone = rotation_queries_++ % 2 == 0;
   std::vector<std::string> addresses = candidates(own_zone);
   if (addresses.empty() && own_zone) {
--- a/tests/membership/catch_up_test.cpp
+++ b/tests/membership/catch_up_test.cpp
@@ -24,29 +24,30 @@
 
 BOOST_FIXTURE_TEST_SUITE(catch_up, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_node_that_follows_and_is_not_behind_asks_nobody) {
+BOOST_AUTO_TEST_CASE(an_up_to_date_node_that_follows_the_log_queries_no_peer) {
   catch_up.set_own_position({3, 10});
   catch_up.record_peer_position({3, 10}, "a", at(100));
   catch_up.record_peer_position({2, 8}, "b", at(100));
   BOOST_TEST(!next(1'000, true).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_newer_version_is_asked_for_at_once) {
+BOOST_AUTO_TEST_CASE(a_newer_configuration_version_is_queried_immediately) {
   catch_up.set_own_position({3, 10});
   catch_up.record_peer_position({4, 10}, "b", at(100));
   BOOST_TEST(next(100, true).value_or("") == "b");
-  BOOST_TEST(!next(150, true).has_value());  // One question at a time.
+  BOOST_TEST(!next(150, true).has_value());  // At most one query is in flight.
 }
 
-BOOST_AUTO_TEST_CASE(records_that_others_have_are_asked_for_after_a_short_time) {
+BOOST_AUTO_TEST_CASE(missing_records_are_queried_after_the_permitted_lag) {
   catch_up.set_own_position({3, 10});
   catch_up.record_peer_position({3, 11}, "b", at(100));
   BOOST_TEST(!next(300, true).has_value());
   BOOST_TEST(next(400, true).value_or("") == "b");
 }
 
-// An evacuation has no version: the position tells that a node lacks it.
-BOOST_AUTO_TEST_CASE(the_operators_records_that_others_have_are_asked_for_too) {
+// An evacuation does not change the configuration version; only the position in the operator's
+// records shows that a node has not read it.
+BOOST_AUTO_TEST_CASE(missing_operator_records_are_queried_too) {
   catch_up.set_own_position({3, 10, 20});
   catch_up.record_peer_position({3, 10, 21}, "b", at(100));
   BOOST_TEST(!next(300, true).has_value());
@@ -56,26 +57,26 @@
   BOOST_TEST(!next(900, true).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_has_caught_up_does_not_ask) {
+BOOST_AUTO_TEST_CASE(a_node_that_has_caught_up_sends_no_query) {
   catch_up.set_own_position({3, 10});
   catch_up.record_peer_position({3, 11}, "b", at(100));
   catch_up.set_own_position({3, 11});
   BOOST_TEST(!next(400, true).has_value());
 }
 
-// A question that went unanswered was not asked again until a peer had been ahead for the whole
-// lag once more.
-BOOST_AUTO_TEST_CASE(after_a_question_without_an_answer_the_next_peer_that_is_ahead_is_asked) {
+// Guards against a fault where an unanswered query was repeated only after a peer had been ahead
+// for the whole permitted lag again.
+BOOST_AUTO_TEST_CASE(after_an_unanswered_query_the_next_peer_that_is_ahead_is_queried) {
   catch_up.set_own_position({3, 10});
   catch_up.record_peer_position({3, 11}, "b", at(100));
   BOOST_TEST(next(400, true).value_or("") == "b");
   catch_up.query_finished();
-  BOOST_TEST(!next(410, true).has_value());  // Nobody said again that it is ahead.
+  BOOST_TEST(!next(410, true).has_value());  // No new digest from a peer that is ahead.
   catch_up.record_peer_position({3, 11}, "c", at(420));
   BOOST_TEST(next(420, true).value_or("") == "c");
 }
 
-BOOST_AUTO_TEST_CASE(without_the_log_all_are_asked_in_turn_every_second_time_of_the_own_zone) {
+BOOST_AUTO_TEST_CASE(without_the_log_queries_rotate_and_every_second_stays_in_the_zone) {
   std::vector<std::string> asked;
   for (std::int64_t now = 0; now < 2'000; now += 50) {
     if (const auto address = next(now, false)) {
@@ -86,7 +87,7 @@
   BOOST_TEST((asked == std::vector<std::string>{"a", "b", "a", "a", "a"}));
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_without_other_nodes_asks_elsewhere) {
+BOOST_AUTO_TEST_CASE(a_node_alone_in_its_zone_queries_other_zones) {
   zone.clear();
   BOOST_TEST(next(0, false).value_or("") == "a");
 }
--- a/tests/membership/cell_test.cpp
+++ b/tests/membership/cell_test.cpp
@@ -35,7 +35,7 @@
 
 BOOST_AUTO_TEST_SUITE(cell)
 
-BOOST_AUTO_TEST_CASE(a_small_fleet_and_one_whose_replicas_are_not_divided_have_no_cells) {
+BOOST_AUTO_TEST_CASE(small_fleets_and_fleets_with_one_slice_have_no_cells) {
   const std::vector<Member> small = fleet_of(kUndividedLimit, 2);
   Cell cell("node-0", "zone-0");
   cell.update(pointers(small), 8, kUndividedLimit);
@@ -45,8 +45,8 @@
   BOOST_TEST(!cell.divided());
 }
 
-// Datagrams a node and second: its cell, whatever the fleet.
-BOOST_AUTO_TEST_CASE(cells_stay_small_and_agree_at_any_size) {
+// The datagrams per node and second depend on the size of its cell, not on that of the fleet.
+BOOST_AUTO_TEST_CASE(cells_are_bounded_and_consistent_at_any_fleet_size) {
   for (const auto& [nodes, slices] :
        std::map<std::size_t, std::size_t>{{100, 2}, {300, 4}, {1'000, 8}, {2'000, 16}}) {
     const std::vector<Member> members = fleet_of(nodes, 5);
@@ -70,8 +70,8 @@
   }
 }
 
-// While builds are replaced, relays of the older one would wait for digests that go to cells.
-BOOST_AUTO_TEST_CASE(one_member_of_an_older_build_keeps_the_fleet_together) {
+// During a rolling upgrade, relays of the older build would miss the digests sent within cells.
+BOOST_AUTO_TEST_CASE(one_member_of_an_older_build_disables_cells) {
   std::vector<Member> members = fleet_of(300, 3);
   members[77].capabilities = 0;
   Cell cell("node-0", "zone-0");
--- a/tests/membership/crash_report_spread_test.cpp
+++ b/tests/membership/crash_report_spread_test.cpp
@@ -14,14 +14,15 @@
 constexpr RequestFingerprint kRequest{0x9c41d07be2a35f68, 0x3e1b07a260c9f2a4};
 constexpr Duration kRound = std::chrono::milliseconds(50);
 
-/// A node in touch with the others knows what is quarantined so long after the last end.
+/// Longest time from the last crash until every connected node has quarantined the request.
 constexpr Duration kSpreadLimit = std::chrono::seconds(3);
 
-/// Share of messages that are lost, and longest time that one takes.
+/// Message loss rate.
 constexpr double kLoss = 0.3;
+/// Maximum message delay.
 constexpr Duration kLongestDelay = std::chrono::milliseconds(300);
 
-/// Nodes that tell each other, with messages lost, late and doubled.
+/// Nodes that exchange crash reports over a network that loses and delays messages.
 class Fleet {
  public:
   Fleet(std::size_t size, std::uint64_t seed, const Knobs& knobs = {})
@@ -43,17 +44,17 @@
   TimePoint now() const { return now_; }
   std::uint64_t bytes() const { return bytes_; }
 
-  /// A replica ends under the request; the node sees it.
+  /// The node sees a replica crash under the request.
   void report_crash(std::size_t node, std::uint64_t replica) {
     apply(node, {{{kRequest, combine_hash(1, replica), now_}}, {}, false}, false);
   }
-  /// The node starts anew and knows nothing.
+  /// The node restarts without any state.
   void restart(std::size_t node) {
     nodes_[node] = std::make_unique<Node>(knobs_, members_[node].id, random_());
     nodes_[node]->spread.catch_up(now_);
   }
   void disconnect(std::size_t node) { disconnected_.insert(node); }
-  /// The way is free again; those on both its sides notice that they hear each other.
+  /// Ends the partition; the nodes on both sides notice that they can reach each other.
   void reconnect(std::size_t node) {
     disconnected_.erase(node);
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
@@ -123,7 +124,7 @@
     }
   }
 
-  /// What the gateway does with evidence of its own and of others.
+  /// Mirrors the gateway: applies evidence of its own (`received` is false) or from other nodes.
   void apply(std::size_t index, const CrashReport& report, bool received) {
     Node& node = *nodes_[index];
     for (const CrashEvidence& evidence : report.evidence) {
@@ -152,7 +153,8 @@
 
 BOOST_AUTO_TEST_SUITE(crash_report_spread)
 
-BOOST_AUTO_TEST_CASE(three_ends_seen_by_three_nodes_are_known_everywhere_in_time) {
+BOOST_AUTO_TEST_CASE(
+    three_crashes_seen_by_three_nodes_quarantine_the_request_on_all_nodes_in_time) {
   for (const std::size_t size : {3, 10, 40, 295}) {
     for (std::uint64_t seed = 1; seed <= (size > 100 ? 5U : 100U); ++seed) {
       Fleet fleet(size, seed);
@@ -166,7 +168,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_comes_again_and_again_reaches_no_replica_once_it_is_known) {
+BOOST_AUTO_TEST_CASE(a_repeated_request_crashes_no_replica_after_the_spread_limit) {
   constexpr Duration kRequestInterval = std::chrono::milliseconds(100);
   int most = 0;
   for (const std::size_t size : {10, 40}) {
@@ -187,10 +189,10 @@
       most = std::max(most, static_cast<int>(ends.size()));
     }
   }
-  BOOST_TEST_MESSAGE("most ends of one request, ten attempts a second: " << most);
+  BOOST_TEST_MESSAGE("maximum crashes of one request at ten attempts per second: " << most);
 }
 
-BOOST_AUTO_TEST_CASE(two_ends_quarantine_nothing_anywhere) {
+BOOST_AUTO_TEST_CASE(two_crashes_quarantine_nothing_on_any_node) {
   Fleet fleet(10, 1);
   fleet.report_crash(0, 1);
   fleet.report_crash(1, 2);
@@ -199,7 +201,7 @@
   BOOST_TEST(fleet.informed_nodes() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_was_cut_off_or_started_knows_in_time) {
+BOOST_AUTO_TEST_CASE(a_reconnected_or_restarted_node_learns_the_quarantine_in_time) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Fleet fleet(10, seed);
     for (std::size_t node = 5; node < 10; ++node) {
@@ -219,7 +221,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ends_seen_on_both_sides_of_a_cut_are_added_up_after_it) {
+BOOST_AUTO_TEST_CASE(crashes_seen_on_both_sides_of_a_partition_add_up_after_it) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Fleet fleet(10, seed);
     fleet.disconnect(9);
@@ -229,14 +231,14 @@
     fleet.run_for(20s);
     BOOST_TEST(fleet.informed_nodes() == 0U);
     fleet.reconnect(9);
-    // The request comes once more, and is known from then on.
+    // The request is sent once more; its crash completes the evidence.
     fleet.report_crash(9, 4);
     fleet.run_for(kSpreadLimit);
     BOOST_TEST(fleet.informed_nodes() == 10U, "seed " << seed);
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_end_costs_the_same_in_fleets_of_any_size) {
+BOOST_AUTO_TEST_CASE(the_cost_of_a_crash_does_not_depend_on_the_fleet_size) {
   const auto bytes_of = [](std::size_t size, std::size_t witnesses) {
     Knobs knobs;
     knobs.crash_witnesses = witnesses;
@@ -247,13 +249,13 @@
   };
   const std::size_t witnesses = Knobs{}.crash_witnesses;
   for (const std::size_t size : {40, 295, 986}) {
-    BOOST_TEST_MESSAGE(size << " nodes, bytes an end: " << bytes_of(size, witnesses)
+    BOOST_TEST_MESSAGE(size << " nodes, bytes per crash: " << bytes_of(size, witnesses)
                             << " to witnesses, " << bytes_of(size, size) << " to all");
   }
   BOOST_TEST(bytes_of(986, witnesses) <= bytes_of(40, witnesses) * 11 / 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_verdict_costs_each_node_alike_in_fleets_of_any_size) {
+BOOST_AUTO_TEST_CASE(the_cost_of_a_quarantine_per_node_does_not_depend_on_the_fleet_size) {
   const auto bytes_of_node = [](std::size_t size) {
     Fleet fleet(size, 1);
     for (std::uint64_t replica = 0; replica < 3; ++replica) {
@@ -265,13 +267,13 @@
   BOOST_TEST(bytes_of_node(986) <= bytes_of_node(100) * 12 / 10);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_sent_while_nothing_is_known) {
+BOOST_AUTO_TEST_CASE(nothing_is_sent_without_crashes) {
   Fleet fleet(10, 1);
   fleet.run_for(60s);
   BOOST_TEST(fleet.bytes() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(members_of_an_older_build_are_told_nothing) {
+BOOST_AUTO_TEST_CASE(members_of_an_older_build_receive_no_reports) {
   const Knobs knobs;
   RequestQuarantine quarantine(knobs);
   CrashReportSpread spread(knobs, quarantine, "new", 1);
