--- a/include/dockpoint/membership/digest_relay.hpp
+++ b/include/dockpoint/membership/digest_relay.hpp
@@ -8,33 +8,34 @@
 #include "dockpoint/core/knobs.hpp"
 #include "dockpoint/membership/membership.hpp"
 
-/// Spreads the engines' load over the nodes within a budget of bytes.
+/// Distributes the engines' load to all nodes within a bandwidth budget.
 ///
-/// Sent by every steward to every node, digests cost a node as many datagrams as there are nodes,
-/// squared over the fleet. Instead there are a few fixed trees over the live nodes, ordered by a
-/// hash that differs from tree to tree, so that whoever stands high in one stands low in another.
-/// A steward sends an engine's load to the root of the engine's tree; the root collects and sends
-/// it down; every node passes it on at once to its two children. So a node receives each engine's
-/// load once an interval and sends it once on average.
+/// If every steward sent its digests to every node, the datagrams in the fleet would grow with the
+/// square of its nodes. Instead, digests are distributed over a fixed number of trees of the live
+/// nodes. Each tree orders the nodes by a different hash, so that a node near the root of one tree
+/// is usually near the leaves of another. A steward sends an engine's load to the root of the
+/// engine's tree; the root collects digests and sends them down; every node forwards them
+/// immediately to its two children. So a node receives each engine's load once per interval and
+/// sends it once on average.
 ///
-/// The interval grows with the number of engines to keep to the budget. A node that died leaves
-/// its subtree without news of that tree until membership notices; load that is too old is not
-/// believed, and engines' own answers bring fresher load meanwhile.
+/// The interval grows with the number of engines to stay within the budget. While a node is dead
+/// and membership has not yet detected it, its subtree receives no digests of that tree; load that
+/// is too old is ignored, and the engines' own answers provide fresher load meanwhile.
 namespace dockpoint {
 
-/// Load digests on their way through the trees. Not thread-safe; borrows membership and sender.
+/// Sends and forwards load digests along the trees. Not thread-safe; borrows membership and sender.
 class DigestRelay {
  public:
   DigestRelay(const Knobs& knobs, Membership& membership, PeerSender& sender);
 
-  /// Sends this node's own engines' load to the roots.
+  /// Sends the load of this node's own engines to the roots of their trees.
   void publish(const std::vector<EngineDigest>& digests);
 
-  /// Passes on what a message carries.
+  /// Collects or forwards the digests of a message.
   void receive(const PeerMessage& message);
 
-  /// As root, sends down what was collected; call often.
-  /// @param engines in the fleet, for the interval.
+  /// Sends the collected digests down the trees of which this node is the root; call often.
+  /// @param engines number of engines in the fleet, which determines the interval.
   void tick(std::size_t engines, TimePoint now);
 
   /// @return the time between two digests of one engine.
@@ -54,8 +55,8 @@
   Membership& membership_;
   PeerSender& sender_;
   std::uint64_t members_version_ = 0;
-  std::vector<std::vector<std::string>> trees_;  ///< Node ids by position; the root first.
-  std::vector<std::size_t> positions_;           ///< Of this node in each tree.
+  std::vector<std::vector<std::string>> trees_;  ///< Node ids in tree order, the root first.
+  std::vector<std::size_t> positions_;           ///< Position of this node in each tree.
   std::vector<std::map<std::uint32_t, EngineLoad>> collected_;
   TimePoint next_flush_{};
 };
--- a/include/dockpoint/membership/membership.hpp
+++ b/include/dockpoint/membership/membership.hpp
@@ -12,16 +12,17 @@
 #include "dockpoint/core/time.hpp"
 #include "dockpoint/membership/messages.hpp"
 
-/// Which nodes are alive, by SWIM-style probes.
+/// Failure detection and membership gossip in the manner of SWIM.
 ///
 /// Every interval a node pings one member. Without an ack in time it asks a few helpers to ping
-/// on its behalf, which tells a lost link from a lost member. Without any ack the member becomes
-/// suspect, and dead if it does not refute the suspicion, by raising its incarnation, in time.
-/// Changes ride on probes and acks. A leave is final within its incarnation.
+/// on its behalf, which distinguishes a failed link from a failed member. Without any ack the
+/// member becomes suspect, and dead unless it refutes the suspicion in time by raising its
+/// incarnation. Changes are piggybacked on probes and acks. A leave is final within its
+/// incarnation.
 ///
-/// Recovery: a node that was cut off is dead to the others. Its address stays a candidate (from
-/// the platform's machine list and the seeds), one candidate is pinged an interval, and the node
-/// refutes its own death as soon as it hears of it.
+/// Recovery: the others consider a partitioned node dead. Its address stays a candidate (from the
+/// platform's machine list and the seeds), one candidate is contacted per interval, and the node
+/// refutes its own death as soon as it learns of it.
 namespace dockpoint {
 
 /// Sends datagrams on behalf of the decision logic; must not block.
@@ -32,17 +33,17 @@
   virtual void send(const std::string& address, const PeerMessage& message) = 0;
 };
 
-/// Membership as one node sees it. Not thread-safe; borrows the sender.
+/// One node's view of the membership. Not thread-safe; borrows the sender.
 class Membership {
  public:
-  /// @param self this node; its incarnation must exceed that of any earlier run.
-  /// @param seed of the choice of whom to probe.
+  /// @param self this node; its incarnation must exceed those of all its earlier runs.
+  /// @param seed seed of the random choice of members to contact.
   Membership(const Knobs& knobs, Member self, std::uint64_t seed, PeerSender& sender);
 
-  /// Replaces the addresses to contact when they are not known as alive.
+  /// Replaces the addresses to contact while no live member is known there.
   void set_candidates(const std::vector<std::string>& peer_addresses);
 
-  /// Values that ride on every message.
+  /// Values that every message carries.
   void set_configuration_revision(std::uint64_t revision) { configuration_revision_ = revision; }
   void set_pending_batch_items(std::uint32_t items) { pending_batch_items_ = items; }
   void set_log_reachable(bool reachable);
@@ -50,42 +51,42 @@
   /// Drives probes and timeouts; call at least every 100 ms.
   void tick(TimePoint now);
 
-  /// Takes a message of any type; answers probes.
+  /// Processes a message of any type; answers probes and sync requests.
   void receive(const PeerMessage& message, TimePoint now);
 
-  /// Tells the others that this node leaves. No message of this node says otherwise afterwards.
+  /// Announces that this node leaves. All its later messages carry the left state.
   void leave();
 
   /// @return every member not dead or left, this node included while it has not left. The list
-  /// stands until `version` changes.
+  /// stays valid until `version` changes.
   const std::vector<const Member*>& alive() const;
 
   /// @return the alive members that can reach the log, and so may own partitions.
   std::vector<const Member*> eligible_owners() const;
 
-  /// @return the member, in whatever state, or null.
+  /// @return the member in any state, or null if unknown.
   const Member* find(const std::string& id) const;
 
   /// @return whether the member is alive or suspect.
   bool is_alive(const std::string& id) const;
 
-  /// @return since when the member has been alive without a break, if it is.
+  /// @return the time since which the member has been alive without interruption, if it is alive.
   std::optional<TimePoint> alive_since(const std::string& id) const;
 
   const Member& self() const { return self_; }
-  /// @return whether this node has told the others that it leaves.
+  /// @return whether this node has announced that it leaves.
   bool has_left() const { return left_; }
 
   /// @return all members in any state, this node included.
   std::vector<Member> all() const;
 
-  /// @return nodes, this one included, that said they have batch items to dispatch.
+  /// @return the number of nodes, including this one, that report pending batch items.
   int nodes_with_pending_batch() const;
 
   /// Changes whenever the set of alive members may have changed.
   std::uint64_t version() const { return version_; }
 
-  /// Builds a message of this node with gossip on it.
+  /// Builds a message of this node with piggybacked gossip.
   PeerMessage make_message(PeerMessageType type);
 
  private:
@@ -117,7 +118,7 @@
   void expire_states(TimePoint now);
   void ping_candidate();
   void synchronize();
-  /// Adds what is held against `id`, so that it can refute it.
+  /// Adds the record of `id` if it is not considered alive, so that it can refute this.
   void add_suspicion(const std::string& id, PeerMessage& message) const;
   void set_log_reachable(Entry& entry, bool reachable);
   void answer_sync(const std::string& address);
@@ -135,7 +136,7 @@
   std::mt19937_64 random_;
   PeerSender& sender_;
 
-  std::map<std::string, Entry> members_;  ///< Others only.
+  std::map<std::string, Entry> members_;  ///< Without this node.
   std::set<std::string> candidates_;
   std::map<std::string, Rumor> rumors_;
   std::vector<std::string> probe_order_;
@@ -149,8 +150,8 @@
   std::uint32_t pending_batch_items_ = 0;
   bool log_reachable_ = true;
   std::uint64_t version_ = 1;
-  mutable std::vector<const Member*> alive_;  ///< As of `alive_version_`: it is asked for many
-  mutable std::uint64_t alive_version_ = 0;   ///< times a second, and seldom changes.
+  mutable std::vector<const Member*> alive_;  ///< Cached as of `alive_version_`, since it is
+  mutable std::uint64_t alive_version_ = 0;   ///< read many times per second and rarely changes.
 };
 
 }  // namespace dockpoint
--- a/src/membership/digest_collector.cpp
+++ b/src/membership/digest_collector.cpp
@@ -29,7 +29,8 @@
   for (const auto& [since, node] : order) {
     const auto waiting = waiting_.find(node);
     const std::size_t added = waiting->second.bytes.size() + kDigestOverhead;
-    // One digest goes even if heartbeats or the digest itself take all the room.
+    // At least one digest is forwarded, even if the heartbeats or the digest itself exceed the
+    // limit.
     if (size + added > maximum_bytes && !collection.digests.empty()) {
       break;
     }
--- a/src/membership/digest_relay.cpp
+++ b/src/membership/digest_relay.cpp
@@ -9,9 +9,9 @@
 
 constexpr std::size_t kTrees = 8;
 constexpr std::size_t kChildren = 2;
-/// Digests that fit a datagram with room for gossip.
+/// Digests per datagram; leaves space for gossip.
 constexpr std::size_t kDigestsPerMessage = 96;
-/// Of one digest on the wire, envelope included.
+/// Size of one digest on the wire, including its share of the envelope.
 constexpr std::size_t kBytesPerDigest = 26;
 
 }  // namespace
@@ -126,7 +126,8 @@
   for (std::size_t begin = 0; begin < digests.size(); begin += kDigestsPerMessage) {
     const std::size_t end = std::min(digests.size(), begin + kDigestsPerMessage);
     PeerMessage message = membership_.make_message(type);
-    message.updates.clear();  // Gossip rides on probes; here it would cost more than the digests.
+    message.updates
+        .clear();  // Gossip is piggybacked on probes; here it would be larger than the digests.
     message.tree = tree;
     message.digests = {digests.begin() + static_cast<std::ptrdiff_t>(begin),
                        digests.begin() + static_cast<std::ptrdiff_t>(end)};
--- a/tests/membership/digest_collector_test.cpp
+++ b/tests/membership/digest_collector_test.cpp
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_SUITE(digest_collector)
 
-BOOST_AUTO_TEST_CASE(a_few_digests_are_passed_on_at_once_and_only_once) {
+BOOST_AUTO_TEST_CASE(a_few_digests_are_forwarded_immediately_and_once) {
   DigestCollector collector("a");
   collector.add(1, true, digest_of(1, 3, 2));
   collector.add(2, false, digest_of(2, 3, 2));
@@ -40,7 +40,7 @@
   BOOST_TEST(collector.next(kDatagram).empty());
 }
 
-BOOST_AUTO_TEST_CASE(in_a_large_zone_every_node_is_heard_each_time_and_loads_take_turns) {
+BOOST_AUTO_TEST_CASE(a_large_zone_sends_all_heartbeats_each_interval_and_loads_in_rotation) {
   constexpr std::uint32_t kNodes = 100;
   constexpr std::size_t kReplicasOfNode = 40;
   constexpr int kMostRounds = 100;
@@ -62,7 +62,7 @@
   BOOST_TEST(received.size() == kNodes);
 }
 
-BOOST_AUTO_TEST_CASE(a_newer_digest_takes_the_place_of_one_that_waits) {
+BOOST_AUTO_TEST_CASE(a_newer_digest_replaces_a_waiting_one) {
   DigestCollector collector("a");
   collector.add(1, true, digest_of(1, 60, 1));
   collector.add(2, true, digest_of(2, 60, 1));
@@ -76,7 +76,7 @@
   BOOST_TEST(decode_load_digest(second.digests[0])->entries[0].in_flight == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(a_digest_that_is_too_large_alone_does_not_block_the_others) {
+BOOST_AUTO_TEST_CASE(an_oversized_digest_does_not_block_the_others) {
   DigestCollector collector("a");
   collector.add(1, true, digest_of(1, 400, 1));
   collector.add(2, true, digest_of(2, 2, 1));
--- a/tests/membership/load_relay_test.cpp
+++ b/tests/membership/load_relay_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Nodes of a fleet with what each of them has heard, by address.
+/// Three zones of nodes that send digests directly or through their relays.
 class Fleet {
  public:
   explicit Fleet(int nodes_a_zone) {
@@ -40,8 +40,8 @@
     }
   }
 
-  /// One interval: every node sends its digest, relays send what they have collected.
-  /// @return by address, the nodes of whose digest it was told.
+  /// Simulates one interval: every node sends its digest, then relays send their collections.
+  /// @return the nodes whose digests each address has received.
   std::map<std::string, std::set<std::string>> run_interval(const std::set<std::string>& dead) {
     std::map<std::string, std::set<std::string>> heard;
     std::map<std::string, std::set<std::string>> collected;
@@ -103,7 +103,7 @@
   std::size_t sent_ = 0;
 };
 
-/// Digests that a live node has not heard in `heard`, over all live nodes.
+/// @return how many digests of live nodes are missing in `heard`, summed over all live nodes.
 std::size_t missing(const Fleet& fleet, const std::set<std::string>& dead,
                     std::map<std::string, std::set<std::string>> heard) {
   std::size_t count = 0;
@@ -121,22 +121,23 @@
 
 BOOST_AUTO_TEST_SUITE(load_relay)
 
-BOOST_AUTO_TEST_CASE(a_small_fleet_tells_everybody_directly) {
+BOOST_AUTO_TEST_CASE(a_small_fleet_sends_digests_directly) {
   Fleet fleet(5);
   BOOST_TEST(missing(fleet, {}, fleet.run_interval({})) == 0U);
   BOOST_TEST(fleet.sent() == 15U * 14U);
 }
 
-BOOST_AUTO_TEST_CASE(in_a_large_fleet_everybody_hears_of_everybody_each_round) {
+BOOST_AUTO_TEST_CASE(relays_deliver_every_digest_each_interval_in_a_large_fleet) {
   Fleet fleet(30);
   for (int round = 0; round < 4; ++round) {
     BOOST_TEST(missing(fleet, {}, fleet.run_interval({})) == 0U);
   }
-  // Each round: a digest a node, and each of two relays a zone tells its zone and two others'.
+  // Each interval, every node sends one digest, and each of the two relays per zone sends its
+  // collection to its own zone and to one relay of each of the two others, which forwards it.
   BOOST_TEST(fleet.sent() < 4U * 700U);
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_relay_costs_every_second_digest_until_it_is_left_out) {
+BOOST_AUTO_TEST_CASE(a_dead_relay_loses_every_second_digest_until_it_is_replaced) {
   Fleet fleet(30);
   const std::set<std::string> dead{fleet.relay_of("a")};
   auto heard = fleet.run_interval(dead);
@@ -148,7 +149,7 @@
   BOOST_TEST(missing(fleet, dead, fleet.run_interval(dead)) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_of_one_node_and_an_empty_fleet_are_served) {
+BOOST_AUTO_TEST_CASE(a_zone_with_one_node_and_an_empty_fleet_are_supported) {
   LoadRelay alone("a", "x");
   BOOST_TEST(alone.next_digest_recipients().empty());
   BOOST_TEST(!alone.relays());
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Members that talk over a network without delay, on which some can be cut off.
+/// Members connected by a network without delay, from which members can be disconnected.
 class Cluster {
  public:
   explicit Cluster(int size) {
@@ -37,7 +37,7 @@
   void disconnect(const std::string& name) { disconnected_.insert(name); }
   void reconnect(const std::string& name) { disconnected_.erase(name); }
 
-  /// Passes time in steps of 100 ms.
+  /// Advances the clock in steps of 100 ms.
   void run(int milliseconds) {
     for (int step = 0; step < milliseconds / 100; ++step) {
       now_ += 100;
@@ -91,7 +91,7 @@
 
 BOOST_AUTO_TEST_SUITE(membership)
 
-BOOST_AUTO_TEST_CASE(members_find_each_other_through_the_seeds) {
+BOOST_AUTO_TEST_CASE(members_discover_each_other_through_the_seeds) {
   Cluster cluster(6);
   cluster.run(5'000);
   for (int index = 0; index < 6; ++index) {
@@ -99,7 +99,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_member_is_dead_everywhere_and_comes_back) {
+BOOST_AUTO_TEST_CASE(a_disconnected_member_is_declared_dead_and_rejoins) {
   Cluster cluster(5);
   cluster.run(5'000);
   cluster.disconnect("n3");
@@ -120,18 +120,18 @@
   cluster["n2"].leave();
   cluster.run(2'000);
   BOOST_TEST((cluster["n1"].find("n2")->state == MemberState::kLeft));
-  // A late datagram from before the leave.
+  // A delayed datagram sent before the leave.
   PeerMessage late;
   late.type = PeerMessageType::kAck;
   late.sender = before;
   cluster["n1"].receive(late, at(100'000));
   BOOST_TEST((cluster["n1"].find("n2")->state == MemberState::kLeft));
-  late.sender.incarnation += 1;  // A new process under the same name.
+  late.sender.incarnation += 1;  // A new process with the same name.
   cluster["n1"].receive(late, at(100'000));
   BOOST_TEST(cluster["n1"].is_alive("n2"));
 }
 
-BOOST_AUTO_TEST_CASE(a_suspect_refutes) {
+BOOST_AUTO_TEST_CASE(a_suspected_member_refutes_the_suspicion) {
   Cluster cluster(3);
   cluster.run(5'000);
   Member accused = *cluster["n0"].find("n1");
