--- a/include/dockpoint/membership/member.hpp
+++ b/include/dockpoint/membership/member.hpp
@@ -35,8 +35,8 @@
   std::uint64_t run =
       0;  ///< First incarnation of the process: distinguishes a restart from a refutation.
   std::string control_address{};  ///< `IP:port` for calls between nodes; empty: the HTTP interface.
-  std::uint32_t capabilities =
-      0;  ///< Bits of `Capability`; older builds drop this field when they relay a record.
+  /// Bits of `Capability`; older builds drop this field when they relay a record.
+  std::uint32_t capabilities = 0;
   DOCKPOINT_FIELDS(id, incarnation, state, peer_address, api_address, zone, run, control_address,
                    capabilities)
 
--- a/include/dockpoint/membership/membership.hpp
+++ b/include/dockpoint/membership/membership.hpp
@@ -150,8 +150,9 @@
   std::uint32_t pending_batch_items_ = 0;
   bool log_reachable_ = true;
   std::uint64_t version_ = 1;
-  mutable std::vector<const Member*> alive_;  ///< Cached as of `alive_version_`, since it is
-  mutable std::uint64_t alive_version_ = 0;   ///< read many times per second and rarely changes.
+  /// Cached as of `alive_version_`, since it is read many times per second and rarely changes.
+  mutable std::vector<const Member*> alive_;
+  mutable std::uint64_t alive_version_ = 0;
 };
 
 }  // namespace dockpoint
--- a/include/dockpoint/membership/record_sources.hpp
+++ b/include/dockpoint/membership/record_sources.hpp
@@ -9,70 +9,74 @@
 #include "dockpoint/core/time.hpp"
 #include "dockpoint/membership/member.hpp"
 
-/// From where a node of a large fleet reads the fleet's records: the log, or another node.
+/// Selects where a node of a large fleet reads the fleet's records: the log or another node.
 ///
-/// Load pattern: every node follows the same topics, and all load them at once after a restart of
-/// all. Read by each from the log that is nodes times records. Here the nodes of a zone stand in an
-/// order that all compute alike, by a hash of their names. The first two read from the log; some
-/// more, one for each `kFanOut` nodes, read everything from those and pass it on; the others each
-/// read their part from one of these, their own part of the order by rendezvous hashing. So the log
-/// is read twice a zone at any size, bytes cross zones only from the log, and a node answers some
+/// Every node follows the same topics, and after a restart of the whole fleet all nodes load them
+/// at the same time. If each read from the log, the load on the log would be the number of nodes
+/// times that of records. Instead, the nodes of a zone are ordered by a hash of their names, which
+/// all nodes compute in the same way. The first two read from the log; some more, one for each
+/// `kFanOut` nodes, read all records from those and relay them; every other node reads the records
+/// it needs from one of these relays, in its own order by rendezvous hashing. So the log is read
+/// twice per zone at any fleet size, only reads of the log cross zones, and a node serves some
 /// dozens of others.
 ///
-/// A source that does not answer is left out for a while, one that refuses, since it is behind
-/// itself, for a moment, and the next one is asked. Only when none has answered for a good part of
-/// the bound on the age of what a node knows does it read from the log itself, each node after
-/// another time, and less and less often while the log fails too: hundreds that turned to the log
-/// when their sources are slow would hold up those very sources. Without it the log was held up for
-/// more than 8 s by 986 nodes that each asked for the same 400 KB again and again.
+/// A source that does not answer is excluded for some seconds, one that refuses because it is
+/// behind itself for a shorter time, and the next one is tried. Only when no source has answered
+/// for a quarter to half of the bound on the age of a node's state does the node read from the log
+/// itself. This delay differs from node to node, and doubles with each failure of the log: hundreds
+/// of nodes that turned to the log while their sources are slow would slow down these sources
+/// further. Without this limit, 986 nodes that each repeatedly requested the same 400 KB blocked
+/// the log for more than 8 s.
 namespace dockpoint {
 
 /// See the top of this file. Free of I/O and clocks; not thread-safe.
 class RecordSources {
  public:
-  /// Nodes of a zone that read from the log: one may be dead.
+  /// Nodes per zone that read from the log: two, since one may be dead.
   static constexpr std::size_t kReaders = 2;
-  /// Nodes that read from one that passes records on. Its answers after a restart of all, 32 times
-  /// 200 KB, take 1.7 s of the slowest link, 30 Mbit/s.
+  /// Readers per relaying node. After a restart of the whole fleet its answers, 32 times 200 KB,
+  /// take 1.7 s on the slowest link, 30 Mbit/s.
   static constexpr std::size_t kFanOut = 32;
-  /// A source that gave no answer is left out for this long: about the time until the membership
-  /// protocol knows that it is dead.
+  /// How long a source that did not answer is excluded: about the time until the membership
+  /// protocol declares it dead.
   static constexpr Duration kExclusionTime = std::chrono::seconds(5);
-  /// A source that refused is asked again after this time.
+  /// How long a source that refused is excluded.
   static constexpr Duration kRefusalRetryDelay = std::chrono::milliseconds(200);
 
-  /// @param node,zone of this node.
-  /// @param bound on the age of what the node knows.
+  /// @param node,zone name and zone of this node.
+  /// @param bound maximum permitted age of the node's fleet state.
   RecordSources(std::string node, std::string zone, Duration bound);
 
-  /// Takes the nodes that are alive; this node may be among them.
+  /// Recomputes the sources.
+  /// @param alive the live nodes, possibly with this one.
   void update(const std::vector<const Member*>& alive);
 
-  /// @return control address of the node to read from, if there is one.
+  /// @return control address of the node to read from, if a source is available.
   std::optional<std::string> next(TimePoint now);
-  /// @return whether this node has no sources: it reads from the log.
+  /// @return whether this node has no sources and thus always reads from the log.
   bool has_no_sources() const { return sources_.empty(); }
-  /// @return whether the log may be read instead.
+  /// @return whether the node may read from the log instead of from a source.
   bool may_read_log(TimePoint now) const;
-  /// A source gave no answer of use. @param refused whether it said so.
+  /// Excludes a source for a while, after a failed read.
+  /// @param refused whether the source refused, rather than giving no usable answer.
   void failed(const std::string& address, bool refused, TimePoint now);
-  /// Records came, from a source or the log.
+  /// Reports that records were received from a source or from the log.
   void succeeded(TimePoint now);
-  /// The log refused, or gave no answer.
+  /// Reports that the log refused a read or did not answer.
   void log_failed(TimePoint now);
 
-  /// @return whether this node keeps all records, since others read from it.
+  /// @return whether this node must hold all records because other nodes read from it.
   bool passes_on() const { return passes_on_; }
 
  private:
   const std::string node_;
   const std::string zone_;
-  std::vector<std::string> sources_;   ///< In the order in which they are asked.
-  const Duration log_fallback_delay_;  ///< Without an answer, until the log is read.
+  std::vector<std::string> sources_;   ///< Control addresses in order of preference.
+  const Duration log_fallback_delay_;  ///< Time without an answer before the log is read.
   bool passes_on_ = true;
-  TimePoint waiting_since_{};                        ///< The last success, or failure of the log.
-  int log_failures_ = 0;                             ///< In a row.
-  std::map<std::string, TimePoint> excluded_until_;  ///< Until when.
+  TimePoint waiting_since_{};                        ///< Last success, or last failure of the log.
+  int log_failures_ = 0;                             ///< Consecutive.
+  std::map<std::string, TimePoint> excluded_until_;  ///< End of the exclusion, by source.
 };
 
 }  // namespace dockpoint
--- a/src/membership/record_sources.cpp
+++ b/src/membership/record_sources.cpp
@@ -8,7 +8,8 @@
 namespace dockpoint {
 namespace {
 
-/// The order of readers differs from that of relays of load: one node would be both.
+/// Seed of the order, so that it differs from that of the load relays: otherwise the same nodes
+/// would have both tasks.
 constexpr std::uint64_t kOrderSeed = 0x4ec0;
 
 struct RankedMember {
@@ -19,7 +20,7 @@
   }
 };
 
-/// @return how many of a zone's nodes pass records on.
+/// @return how many of a zone's nodes relay records.
 std::size_t nodes_passing_on(std::size_t nodes) {
   const bool readers_suffice = nodes <= RecordSources::kReaders * RecordSources::kFanOut;
   const std::size_t more = readers_suffice ? 0 : nodes / RecordSources::kFanOut + 1;
@@ -58,9 +59,9 @@
   if (passes_on_) {
     order.resize(kReaders);
   } else if (order.size() > kReaders) {
-    order.erase(order.begin(), order.begin() + kReaders);  // They answer those that pass on.
+    order.erase(order.begin(), order.begin() + kReaders);  // They serve the relays only.
   }
-  // Each node begins with another one.
+  // Rendezvous hashing spreads the readers over the sources.
   std::sort(order.begin(), order.end(), [&](const RankedMember& left, const RankedMember& right) {
     return hash64(node_, left.hash) > hash64(node_, right.hash);
   });
--- a/tests/membership/record_sources_test.cpp
+++ b/tests/membership/record_sources_test.cpp
@@ -46,8 +46,8 @@
 
 BOOST_AUTO_TEST_SUITE(record_sources)
 
-// What the log is asked for grows with the zones, and what a node answers not at all.
-BOOST_AUTO_TEST_CASE(two_nodes_of_a_zone_read_from_the_log_and_the_others_from_nodes_at_any_size) {
+// The reads of the log grow with the number of zones only, and the readers per node are bounded.
+BOOST_AUTO_TEST_CASE(two_nodes_per_zone_read_the_log_and_the_others_read_from_nodes_at_any_size) {
   for (const std::size_t nodes : {5, 100, 1'000, 2'000, 10'000}) {
     constexpr std::size_t kZones = 5;
     const Fleet fleet(nodes, kZones);
@@ -73,7 +73,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_source_that_fails_is_left_out_for_a_while) {
+BOOST_AUTO_TEST_CASE(a_failed_source_is_excluded_for_a_while) {
   const Fleet fleet(300);
   std::size_t leaf = 0;
   while (fleet.sources_of(leaf).passes_on()) {
@@ -90,9 +90,9 @@
   BOOST_TEST(sources.next(at(6'000)).value() == first);
 }
 
-// Sources that are slow because the log is: if all their readers went to the log, they would stay
-// so.
-BOOST_AUTO_TEST_CASE(nodes_without_an_answer_turn_to_the_log_one_after_the_other_and_in_time) {
+// Guards against a self-sustaining overload: a slow log makes the sources slow, and if all their
+// readers turned to the log at the same time, it would stay slow.
+BOOST_AUTO_TEST_CASE(nodes_without_an_answer_fall_back_to_the_log_at_staggered_times) {
   const Fleet fleet(1'000);
   std::size_t leaves = 0;
   std::size_t early = 0;
@@ -113,7 +113,7 @@
   BOOST_TEST(late == leaves);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_knows_nobody_and_one_among_older_builds_read_from_the_log) {
+BOOST_AUTO_TEST_CASE(isolated_nodes_and_nodes_among_older_builds_read_from_the_log) {
   RecordSources alone("node-1", "zone-1", kBound);
   BOOST_TEST(!alone.next(at(0)).has_value());
   BOOST_TEST(alone.passes_on());
--- a/tests/support/fleet_replay.cpp
+++ b/tests/support/fleet_replay.cpp
@@ -150,7 +150,7 @@
                                                     pattern_.digest_delay_ms);
   for (int number = 0; number < nodes(); ++number) {
     Node& node = *nodes_[static_cast<std::size_t>(number)];
-    // Nodes do not tell in step.
+    // The digests of the nodes are staggered over the interval.
     if (node.alive && !node.digests_lost &&
         (now + number * pattern_.digest_ms / nodes()) % pattern_.digest_ms == 0) {
       node.directory.paces().update(at(now));
@@ -255,7 +255,8 @@
     const std::string& id = replicas_[static_cast<std::size_t>(request.replica)].id;
     node.directory.ended(id, TrafficClass::kOnline);
     if (pattern_.learn_paces) {
-      // Lengths stay in: the events of a stream tell the pace better than this.
+      // The samples still contain the variation of the request lengths, so they are a less precise
+      // measure of the pace than the events of a real stream.
       const auto step = std::chrono::microseconds((now - request.began) * 50);
       node.directory.paces().observed(node.directory.find(id)->key, PaceSample::kEvent, step,
                                       at(now));
--- a/tests/support/fleet_replay.hpp
+++ b/tests/support/fleet_replay.hpp
@@ -14,69 +14,72 @@
 
 namespace dockpoint::test {
 
-/// Load on a fleet: online requests whose rate steps between two levels.
+/// Simulated fleet and its load: online requests whose rate alternates between two levels.
 struct FleetPattern {
   int nodes = 73;
   int replicas = 89;
   int slots = 8;
   int zones = 3;
   double mean_per_second = 323;
-  double low = 0.383;  ///< Of the mean rate, for `low_ms`; then
-  double high = 1.87;  ///< for `high_ms`; and so on.
+  double low = 0.383;  ///< Rate relative to the mean, for `low_ms`.
+  double high = 1.87;  ///< Rate relative to the mean, for `high_ms`; the two alternate.
   std::int64_t low_ms = 3'400;
   std::int64_t high_ms = 2'400;
-  double service_ms = 730;       ///< That a request holds a slot, in the mean.
-  double service_spread = 0.25;  ///< Standard deviation, of the mean.
-  std::vector<double> paces{1};  ///< Of the replicas, in turn: 2 takes twice as long.
-  double slowed_share = 0;       ///< Of the time a replica is slowed
-  double slowed_factor = 2.5;    ///< so many times,
-  std::int64_t slowed_ms = 600;  ///< for so long in the mean.
+  double service_ms = 730;       ///< Mean time for which a request holds a slot.
+  double service_spread = 0.25;  ///< Standard deviation, relative to the mean.
+  std::vector<double> paces{1};  ///< Of the replicas, in rotation: 2 takes twice as long.
+  double slowed_share = 0;       ///< Share of the time for which a replica is slowed.
+  double slowed_factor = 2.5;    ///< Factor on the service time of a slowed replica.
+  std::int64_t slowed_ms = 600;  ///< Mean length of a slowdown.
   bool learn_paces = true;
-  bool replicas_report_load = false;   ///< Replicas state their load in answers, and how much they
-                                       ///< are slowed.
-  bool reject_when_full = false;       ///< Full replicas turn requests away: there is no queue.
-  std::int64_t digest_ms = 200;        ///< Between the digests of a node.
-  std::int64_t digest_delay_ms = 200;  ///< Until the others have it, at most; half of it at least.
-  std::int64_t late_ms = 250;          ///< A request that waits longer for its slot is late.
+  /// Replicas report their load, and the factor by which they are slowed, in answers.
+  bool replicas_report_load = false;
+  /// Full replicas reject requests instead of queueing them.
+  bool reject_when_full = false;
+  std::int64_t digest_ms = 200;        ///< Interval between the digests of a node.
+  std::int64_t digest_delay_ms = 200;  ///< Maximum delay of a digest; the minimum is half of it.
+  std::int64_t late_ms = 250;          ///< A request that waits longer for its slot counts as late.
   bool slot_shares = true;
 };
 
-/// What became of the requests of a replay.
+/// Counters of a replay.
 struct FleetOutcome {
   int requests = 0;
   int late = 0;
-  int waited = 0;                   ///< For a slot, however short.
-  std::vector<double> waits;        ///< In ms.
-  int turned_away = 0;              ///< Attempts, by a replica that was full.
-  int refused = 0;                  ///< Requests, by all replicas that were tried,
-  int refused_with_free_slots = 0;  ///< and that while a replica had a free slot.
+  int waited = 0;                   ///< Requests that waited for a slot for any time.
+  std::vector<double> waits;        ///< Time until a slot was assigned, in ms.
+  int turned_away = 0;              ///< Attempts that a full replica rejected.
+  int refused = 0;                  ///< Requests that no attempted replica accepted.
+  int refused_with_free_slots = 0;  ///< Refused requests while a replica had a free slot.
 
   double late_share() const { return requests == 0 ? 0 : static_cast<double>(late) / requests; }
-  /// @return the wait that so large a share of the requests stays below.
+  /// @return the quantile of the waits at `share`, in ms.
   double wait_quantile(double share) const;
 };
 
-/// Replays load through the real choice of replicas, at replicas that serve in order of arrival.
+/// Replays load through the production replica selector against simulated first-come first-served
+/// replicas.
 ///
-/// Each node has a directory and a selector of its own; it knows its own requests exactly and those
-/// of the others from digests, late. A node may be taken away in the middle of a replay, and views
-/// of who is there may differ.
+/// Each node has its own directory and selector; it knows its own requests exactly and those of the
+/// others from delayed digests. A node may be killed during a replay, and its death may become
+/// known to the others later.
 class FleetReplay {
  public:
   FleetReplay(const FleetPattern& pattern, std::uint64_t seed, const Knobs& knobs = {});
   ~FleetReplay();
 
-  /// Something that happens at a time of the replay.
+  /// Schedules an event at a time of the replay.
   void at_time(std::int64_t ms, std::function<void(FleetReplay&)> event);
-  /// @return what became of the requests that came from `from_ms` on.
+  /// Runs the replay.
+  /// @return counters of the requests that arrived from `from_ms` on.
   FleetOutcome run(std::int64_t length_ms, std::int64_t from_ms = 0);
 
-  /// The node gets no more requests and tells nothing; its requests end at once. Others do not know
-  /// until `set_known`.
+  /// Kills a node: it receives no more requests, sends no digests, and its waiting requests are
+  /// cancelled. The others do not know of it until `set_live_nodes`.
   void kill_node(int node);
-  /// The other nodes learn that a node is gone, or is there again.
+  /// Sets the nodes that all nodes consider alive.
   void set_live_nodes(const std::vector<int>& nodes);
-  /// Digests of the node are lost from now on, or arrive again.
+  /// Starts or stops the loss of the digests that a node sends.
   void drop_digests(int node, bool lost);
   int nodes() const { return static_cast<int>(nodes_.size()); }
 
@@ -87,8 +90,8 @@
     double pace = 1;
     int running = 0;
     bool slowed = false;
-    std::int64_t changes_at = 0;      ///< When it is slowed, or no longer.
-    std::deque<std::size_t> waiting;  ///< Requests.
+    std::int64_t changes_at = 0;      ///< Time of the next start or end of a slowdown.
+    std::deque<std::size_t> waiting;  ///< Queued requests, as indexes into `requests_`.
   };
   struct Request {
     int node = 0;
@@ -114,9 +117,9 @@
   void send_digests(std::int64_t now);
   void deliver(std::int64_t now);
   void arrive(std::int64_t now, bool counted);
-  /// Sends a request to another replica until one takes it.
+  /// Sends a request to one replica after another until one accepts it.
   void send_with_retries(int node, std::int64_t now, bool counted);
-  /// @return the load header of an answer.
+  /// @return the load that a replica reports in its answers.
   ReportedLoad load_of(const Replica& replica) const;
   void serve(std::size_t request, std::int64_t now);
   void end_requests(std::int64_t now);
