--- a/tests/membership/crash_report_spread_test.cpp
+++ b/tests/membership/crash_report_spread_test.cpp
@@ -14,14 +14,15 @@
 constexpr RequestFingerprint kRequest{0x9c41d07be2a35f68, 0x3e1b07a260c9f2a4};
 constexpr Duration kRound = std::chrono::milliseconds(50);
 
-/// A node in touch with the others knows what is quarantined so long after the last end.
+/// Longest time from the last crash until every connected node has quarantined the request.
 constexpr Duration kSpreadLimit = std::chrono::seconds(3);
 
-/// Share of messages that are lost, and longest time that one takes.
+/// Message loss rate.
 constexpr double kLoss = 0.3;
+/// Maximum message delay.
 constexpr Duration kLongestDelay = std::chrono::milliseconds(300);
 
-/// Nodes that tell each other, with messages lost, late and doubled.
+/// Nodes that exchange crash reports over a network that loses and delays messages.
 class Fleet {
  public:
   Fleet(std::size_t size, std::uint64_t seed, const Knobs& knobs = {})
@@ -43,21 +44,21 @@
   TimePoint now() const { return now_; }
   std::uint64_t bytes() const { return bytes_; }
 
-  /// A replica ends under the request; the node sees it.
-  void end_at(std::size_t node, std::uint64_t replica) {
+  /// The node sees a replica crash under the request.
+  void report_crash(std::size_t node, std::uint64_t replica) {
     apply(node, {{{kRequest, combine_hash(1, replica), now_}}, {}, false}, false);
   }
-  /// The node starts anew and knows nothing.
+  /// The node restarts without any state.
   void restart(std::size_t node) {
     nodes_[node] = std::make_unique<Node>(knobs_, members_[node].id, random_());
     nodes_[node]->spread.catch_up(now_);
   }
-  void cut(std::size_t node) { cut_.insert(node); }
-  /// The way is free again; those on both its sides notice that they hear each other.
-  void heal(std::size_t node) {
-    cut_.erase(node);
+  void disconnect(std::size_t node) { disconnected_.insert(node); }
+  /// Ends the partition; the nodes on both sides notice that they can reach each other.
+  void reconnect(std::size_t node) {
+    disconnected_.erase(node);
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
-      if (other != node && !cut_.contains(other)) {
+      if (other != node && !disconnected_.contains(other)) {
         nodes_[other]->spread.answer(members_[node].peer_address);
         nodes_[node]->spread.answer(members_[other].peer_address);
       }
@@ -75,13 +76,13 @@
     }
   }
 
-  bool knows(std::size_t node) const {
+  bool is_quarantined(std::size_t node) const {
     return nodes_[node]->quarantine.check(kRequest, now_).has_value();
   }
-  std::size_t knowing() const {
+  std::size_t informed_nodes() const {
     std::size_t count = 0;
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
-      count += knows(node) ? 1 : 0;
+      count += is_quarantined(node) ? 1 : 0;
     }
     return count;
   }
@@ -105,7 +106,7 @@
       const auto to = static_cast<std::size_t>(std::stoul(address));
       bytes_ += size;
       const bool lost = std::uniform_real_distribution<>(0, 1)(random_) < kLoss;
-      if (!lost && !cut_.contains(from) && !cut_.contains(to)) {
+      if (!lost && !disconnected_.contains(from) && !disconnected_.contains(to)) {
         const auto delay = Duration(random_() % static_cast<std::uint64_t>(kLongestDelay.count()));
         messages_.emplace(now_ + delay, Message{from, to, send.report});
       }
@@ -123,16 +124,16 @@
     }
   }
 
-  /// What the gateway does with evidence of its own and of others.
-  void apply(std::size_t index, const CrashReport& report, bool told) {
+  /// Mirrors the gateway: applies evidence of its own (`received` is false) or from other nodes.
+  void apply(std::size_t index, const CrashReport& report, bool received) {
     Node& node = *nodes_[index];
     for (const CrashEvidence& evidence : report.evidence) {
       const EvidenceEffect effect = node.quarantine.take(evidence, now_);
-      const bool whole = told && report.evidence.size() >= knobs_.crash_limit;
+      const bool whole = received && report.evidence.size() >= knobs_.crash_limit;
       if (effect == EvidenceEffect::kQuarantined && !whole) {
-        node.spread.tell_all(evidence.request, now_);
-      } else if (effect == EvidenceEffect::kCounted && !told) {
-        node.spread.tell_witnesses(evidence.request, now_);
+        node.spread.send_to_all(evidence.request, now_);
+      } else if (effect == EvidenceEffect::kCounted && !received) {
+        node.spread.send_to_witnesses(evidence.request, now_);
       }
     }
   }
@@ -143,7 +144,7 @@
   std::vector<const Member*> alive_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::multimap<TimePoint, Message> messages_;
-  std::set<std::size_t> cut_;
+  std::set<std::size_t> disconnected_;
   TimePoint now_ = TimePoint(std::chrono::hours(1));
   std::uint64_t bytes_ = 0;
 };
@@ -152,22 +153,23 @@
 
 BOOST_AUTO_TEST_SUITE(crash_report_spread)
 
-BOOST_AUTO_TEST_CASE(three_ends_seen_by_three_nodes_are_known_everywhere_in_time) {
+BOOST_AUTO_TEST_CASE(
+    three_crashes_seen_by_three_nodes_quarantine_the_request_on_all_nodes_in_time) {
   for (const std::size_t size : {3, 10, 40, 295}) {
     for (std::uint64_t seed = 1; seed <= (size > 100 ? 5U : 100U); ++seed) {
       Fleet fleet(size, seed);
       for (std::uint64_t replica = 0; replica < 3; ++replica) {
-        fleet.end_at(replica % size, replica);
+        fleet.report_crash(replica % size, replica);
         fleet.run_for(200ms);
       }
       fleet.run_for(kSpreadLimit - 200ms);
-      BOOST_TEST(fleet.knowing() == size, "size " << size << " seed " << seed);
+      BOOST_TEST(fleet.informed_nodes() == size, "size " << size << " seed " << seed);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_comes_again_and_again_reaches_no_replica_once_it_is_known) {
-  constexpr Duration kReturn = std::chrono::milliseconds(100);
+BOOST_AUTO_TEST_CASE(a_repeated_request_crashes_no_replica_after_the_spread_limit) {
+  constexpr Duration kRequestInterval = std::chrono::milliseconds(100);
   int most = 0;
   for (const std::size_t size : {10, 40}) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
@@ -176,88 +178,88 @@
       std::vector<TimePoint> ends;
       for (int round = 0; round < 100; ++round) {
         const std::size_t node = random() % size;
-        if (!fleet.knows(node)) {
-          fleet.end_at(node, ends.size());
+        if (!fleet.is_quarantined(node)) {
+          fleet.report_crash(node, ends.size());
           ends.push_back(fleet.now());
         }
-        fleet.run_for(kReturn);
+        fleet.run_for(kRequestInterval);
       }
       BOOST_REQUIRE(ends.size() >= 3U);
       BOOST_TEST((ends.back() <= ends[2] + kSpreadLimit), "size " << size << " seed " << seed);
       most = std::max(most, static_cast<int>(ends.size()));
     }
   }
-  BOOST_TEST_MESSAGE("most ends of one request, ten attempts a second: " << most);
+  BOOST_TEST_MESSAGE("maximum crashes of one request at ten attempts per second: " << most);
 }
 
-BOOST_AUTO_TEST_CASE(two_ends_quarantine_nothing_anywhere) {
+BOOST_AUTO_TEST_CASE(two_crashes_quarantine_nothing_on_any_node) {
   Fleet fleet(10, 1);
-  fleet.end_at(0, 1);
-  fleet.end_at(1, 2);
-  fleet.end_at(2, 2);
+  fleet.report_crash(0, 1);
+  fleet.report_crash(1, 2);
+  fleet.report_crash(2, 2);
   fleet.run_for(10s);
-  BOOST_TEST(fleet.knowing() == 0U);
+  BOOST_TEST(fleet.informed_nodes() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_was_cut_off_or_started_knows_in_time) {
+BOOST_AUTO_TEST_CASE(a_reconnected_or_restarted_node_learns_the_quarantine_in_time) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Fleet fleet(10, seed);
     for (std::size_t node = 5; node < 10; ++node) {
-      fleet.cut(node);
+      fleet.disconnect(node);
     }
     for (std::uint64_t replica = 0; replica < 3; ++replica) {
-      fleet.end_at(replica, replica);
+      fleet.report_crash(replica, replica);
     }
     fleet.run_for(20s);
-    BOOST_TEST(!fleet.knows(7));
+    BOOST_TEST(!fleet.is_quarantined(7));
     for (std::size_t node = 5; node < 10; ++node) {
-      fleet.heal(node);
+      fleet.reconnect(node);
     }
     fleet.restart(0);
     fleet.run_for(kSpreadLimit);
-    BOOST_TEST(fleet.knowing() == 10U, "seed " << seed);
+    BOOST_TEST(fleet.informed_nodes() == 10U, "seed " << seed);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ends_seen_on_both_sides_of_a_cut_are_added_up_after_it) {
+BOOST_AUTO_TEST_CASE(crashes_seen_on_both_sides_of_a_partition_add_up_after_it) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Fleet fleet(10, seed);
-    fleet.cut(9);
-    fleet.end_at(0, 1);
-    fleet.end_at(1, 2);
-    fleet.end_at(9, 3);
+    fleet.disconnect(9);
+    fleet.report_crash(0, 1);
+    fleet.report_crash(1, 2);
+    fleet.report_crash(9, 3);
     fleet.run_for(20s);
-    BOOST_TEST(fleet.knowing() == 0U);
-    fleet.heal(9);
-    // The request comes once more, and is known from then on.
-    fleet.end_at(9, 4);
+    BOOST_TEST(fleet.informed_nodes() == 0U);
+    fleet.reconnect(9);
+    // The request is sent once more; its crash completes the evidence.
+    fleet.report_crash(9, 4);
     fleet.run_for(kSpreadLimit);
-    BOOST_TEST(fleet.knowing() == 10U, "seed " << seed);
+    BOOST_TEST(fleet.informed_nodes() == 10U, "seed " << seed);
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_end_costs_the_same_in_fleets_of_any_size) {
+BOOST_AUTO_TEST_CASE(the_cost_of_a_crash_does_not_depend_on_the_fleet_size) {
   const auto bytes_of = [](std::size_t size, std::size_t witnesses) {
     Knobs knobs;
     knobs.crash_witnesses = witnesses;
     Fleet fleet(size, 1, knobs);
-    fleet.end_at(0, 1);
+    fleet.report_crash(0, 1);
     fleet.run_for(5s);
     return fleet.bytes();
   };
   const std::size_t witnesses = Knobs{}.crash_witnesses;
   for (const std::size_t size : {40, 295, 986}) {
-    BOOST_TEST_MESSAGE(size << " nodes, bytes an end: " << bytes_of(size, witnesses)
+    BOOST_TEST_MESSAGE(size << " nodes, bytes per crash: " << bytes_of(size, witnesses)
                             << " to witnesses, " << bytes_of(size, size) << " to all");
   }
   BOOST_TEST(bytes_of(986, witnesses) <= bytes_of(40, witnesses) * 11 / 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_verdict_costs_each_node_alike_in_fleets_of_any_size) {
+BOOST_AUTO_TEST_CASE(the_cost_of_a_quarantine_per_node_does_not_depend_on_the_fleet_size) {
   const auto bytes_of_node = [](std::size_t size) {
     Fleet fleet(size, 1);
     for (std::uint64_t replica = 0; replica < 3; ++replica) {
-      fleet.end_at(0, replica);
+      fleet.report_crash(0, replica);
     }
     fleet.run_for(2s);
     return fleet.bytes() / size;
@@ -265,13 +267,13 @@
   BOOST_TEST(bytes_of_node(986) <= bytes_of_node(100) * 12 / 10);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_sent_while_nothing_is_known) {
+BOOST_AUTO_TEST_CASE(nothing_is_sent_without_crashes) {
   Fleet fleet(10, 1);
   fleet.run_for(60s);
   BOOST_TEST(fleet.bytes() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(members_of_an_older_build_are_told_nothing) {
+BOOST_AUTO_TEST_CASE(members_of_an_older_build_receive_no_reports) {
   const Knobs knobs;
   RequestQuarantine quarantine(knobs);
   CrashReportSpread spread(knobs, quarantine, "new", 1);
@@ -285,8 +287,8 @@
   older.capabilities = static_cast<std::uint32_t>(Capability::kCells);
   const TimePoint now{1h};
   quarantine.take(CrashEvidence{kRequest, 1, now}, now);
-  spread.tell_witnesses(kRequest, now);
-  spread.tell_all({1, 1}, now);
+  spread.send_to_witnesses(kRequest, now);
+  spread.send_to_all({1, 1}, now);
   for (const CrashReportSend& send : spread.next({&newer, &older}, now)) {
     BOOST_TEST((send.addresses == std::vector<std::string>{"a"}));
   }
--- a/tests/membership/digest_collector_test.cpp
+++ b/tests/membership/digest_collector_test.cpp
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_SUITE(digest_collector)
 
-BOOST_AUTO_TEST_CASE(a_few_digests_are_passed_on_at_once_and_only_once) {
+BOOST_AUTO_TEST_CASE(a_few_digests_are_forwarded_immediately_and_once) {
   DigestCollector collector("a");
   collector.add(1, true, digest_of(1, 3, 2));
   collector.add(2, false, digest_of(2, 3, 2));
@@ -40,14 +40,14 @@
   BOOST_TEST(collector.next(kDatagram).empty());
 }
 
-BOOST_AUTO_TEST_CASE(in_a_large_zone_every_node_is_heard_each_time_and_loads_take_turns) {
+BOOST_AUTO_TEST_CASE(a_large_zone_sends_all_heartbeats_each_interval_and_loads_in_rotation) {
   constexpr std::uint32_t kNodes = 100;
   constexpr std::size_t kReplicasOfNode = 40;
   constexpr int kMostRounds = 100;
   DigestCollector collector("a");
-  std::set<std::uint32_t> told;
+  std::set<std::uint32_t> received;
   int rounds = 0;
-  while (told.size() < kNodes && rounds < kMostRounds) {
+  while (received.size() < kNodes && rounds < kMostRounds) {
     for (std::uint32_t node = 1; node <= kNodes; ++node) {
       collector.add(node, true, digest_of(node, kReplicasOfNode, 1));
     }
@@ -56,27 +56,27 @@
     BOOST_TEST(encode(collection).size() <= kDatagram);
     const std::set<std::uint32_t> now = nodes_of(collection);
     BOOST_TEST(!now.empty());
-    told.insert(now.begin(), now.end());
+    received.insert(now.begin(), now.end());
     ++rounds;
   }
-  BOOST_TEST(told.size() == kNodes);
+  BOOST_TEST(received.size() == kNodes);
 }
 
-BOOST_AUTO_TEST_CASE(a_newer_digest_takes_the_place_of_one_that_waits) {
+BOOST_AUTO_TEST_CASE(a_newer_digest_replaces_a_waiting_one) {
   DigestCollector collector("a");
   collector.add(1, true, digest_of(1, 60, 1));
   collector.add(2, true, digest_of(2, 60, 1));
   collector.add(2, true, digest_of(2, 60, 9));
   BOOST_TEST(collector.waiting() == 2U);
-  constexpr std::size_t kRoomForOne = 700;
-  BOOST_TEST(nodes_of(collector.next(kRoomForOne)) == std::set<std::uint32_t>{1},
+  constexpr std::size_t kOneDigestBytes = 700;
+  BOOST_TEST(nodes_of(collector.next(kOneDigestBytes)) == std::set<std::uint32_t>{1},
              boost::test_tools::per_element());
-  const LoadCollection second = collector.next(kRoomForOne);
+  const LoadCollection second = collector.next(kOneDigestBytes);
   BOOST_TEST_REQUIRE(second.digests.size() == 1U);
   BOOST_TEST(decode_load_digest(second.digests[0])->entries[0].in_flight == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(a_digest_that_is_too_large_alone_does_not_block_the_others) {
+BOOST_AUTO_TEST_CASE(an_oversized_digest_does_not_block_the_others) {
   DigestCollector collector("a");
   collector.add(1, true, digest_of(1, 400, 1));
   collector.add(2, true, digest_of(2, 2, 1));
--- a/tests/routing/slot_shares_test.cpp
+++ b/tests/routing/slot_shares_test.cpp
@@ -212,7 +212,7 @@
     for (int node = fleet.nodes() / 3; node < fleet.nodes(); ++node) {
       left.push_back(node);
     }
-    fleet.set_known(left);
+    fleet.set_live_nodes(left);
   });
   const FleetOutcome outcome = replay.run(11'600, 6'600);
   BOOST_TEST(outcome.late_share() < 0.01, outcome.late << " of " << outcome.requests << " late");
--- a/tests/support/fleet_replay.cpp
+++ b/tests/support/fleet_replay.cpp
@@ -74,7 +74,7 @@
     }
     all.push_back(number);
   }
-  set_known(all);
+  set_live_nodes(all);
 }
 
 FleetReplay::~FleetReplay() = default;
@@ -91,7 +91,7 @@
     }
     end_requests(now);
     change_paces(now);
-    tell_loads(now);
+    send_digests(now);
     deliver(now);
     const bool low = now % (pattern_.low_ms + pattern_.high_ms) < pattern_.low_ms;
     const double rate = pattern_.mean_per_second * (low ? pattern_.low : pattern_.high);
@@ -103,7 +103,7 @@
   return outcome_;
 }
 
-void FleetReplay::set_known(const std::vector<int>& nodes) {
+void FleetReplay::set_live_nodes(const std::vector<int>& nodes) {
   std::vector<SlotHolder> holders;
   for (const int number : nodes) {
     holders.push_back({node_name(number), zone_name(number % pattern_.zones)});
@@ -120,7 +120,7 @@
   }
 }
 
-void FleetReplay::lose_digests(int node, bool lost) {
+void FleetReplay::drop_digests(int node, bool lost) {
   nodes_[static_cast<std::size_t>(node)]->digests_lost = lost;
 }
 
@@ -145,12 +145,12 @@
   return {replica.running, static_cast<int>(replica.waiting.size()), pattern_.slots, pace, false};
 }
 
-void FleetReplay::tell_loads(std::int64_t now) {
+void FleetReplay::send_digests(std::int64_t now) {
   std::uniform_int_distribution<std::int64_t> delay(pattern_.digest_delay_ms / 2,
                                                     pattern_.digest_delay_ms);
   for (int number = 0; number < nodes(); ++number) {
     Node& node = *nodes_[static_cast<std::size_t>(number)];
-    // Nodes do not tell in step.
+    // The digests of the nodes are staggered over the interval.
     if (node.alive && !node.digests_lost &&
         (now + number * pattern_.digest_ms / nodes()) % pattern_.digest_ms == 0) {
       node.directory.paces().update(at(now));
@@ -166,11 +166,12 @@
       ++digest;
       continue;
     }
-    LoadDigest told{node_key(node_name(digest->from)), 0, 0, true, 0, digest->entries};
-    told.paces = digest->paces;
+    LoadDigest digest_received{node_key(node_name(digest->from)), 0, 0, true, 0, digest->entries};
+    digest_received.paces = digest->paces;
     for (int number = 0; number < nodes(); ++number) {
       if (number != digest->from) {
-        nodes_[static_cast<std::size_t>(number)]->directory.set_peer_loads({told}, at(now));
+        nodes_[static_cast<std::size_t>(number)]->directory.set_peer_loads({digest_received},
+                                                                           at(now));
       }
     }
     digest = digests_.erase(digest);
@@ -183,10 +184,10 @@
   while (!nodes_[static_cast<std::size_t>(number)]->alive) {
     number = any_node(random_);
   }
-  send_until_taken(number, now, counted);
+  send_with_retries(number, now, counted);
 }
 
-void FleetReplay::send_until_taken(int number, std::int64_t now, bool counted) {
+void FleetReplay::send_with_retries(int number, std::int64_t now, bool counted) {
   Node& node = *nodes_[static_cast<std::size_t>(number)];
   ReplicaQuery query{kService, TrafficClass::kOnline, {{7, 100}, {8, 250}}, {}};
   for (int sends = 0; sends < knobs_.maximum_sends_not_run; ++sends) {
@@ -197,8 +198,8 @@
     const std::string id = choice.replica->record.id;
     const int place = std::stoi(id.substr(1));
     Replica& replica = replicas_[static_cast<std::size_t>(place)];
-    if (pattern_.turn_away && replica.running >= pattern_.slots) {
-      if (pattern_.state_paces) {
+    if (pattern_.reject_when_full && replica.running >= pattern_.slots) {
+      if (pattern_.replicas_report_load) {
         node.directory.report(id, load_of(replica), at(now));
       }
       node.directory.turned_away(id, at(now));
@@ -221,7 +222,7 @@
   });
   outcome_.requests += counted ? 1 : 0;
   outcome_.refused += counted ? 1 : 0;
-  outcome_.refused_beside_room += counted && room ? 1 : 0;
+  outcome_.refused_with_free_slots += counted && room ? 1 : 0;
 }
 
 void FleetReplay::serve(std::size_t number, std::int64_t now) {
@@ -239,7 +240,7 @@
   const Replica& replica = replicas_[static_cast<std::size_t>(request.replica)];
   const double pace = replica.pace * (replica.slowed ? pattern_.slowed_factor : 1);
   const double time = pattern_.service_ms * std::max(kShortest, length(random_)) * pace;
-  if (pattern_.state_paces) {
+  if (pattern_.replicas_report_load) {
     nodes_[static_cast<std::size_t>(request.node)]->directory.report(replica.id, load_of(replica),
                                                                      at(now));
   }
@@ -254,7 +255,8 @@
     const std::string& id = replicas_[static_cast<std::size_t>(request.replica)].id;
     node.directory.ended(id, TrafficClass::kOnline);
     if (pattern_.learn_paces) {
-      // Lengths stay in: the events of a stream tell the pace better than this.
+      // The samples still contain the variation of the request lengths, so they are a less precise
+      // measure of the pace than the events of a real stream.
       const auto step = std::chrono::microseconds((now - request.began) * 50);
       node.directory.paces().observed(node.directory.find(id)->key, PaceSample::kEvent, step,
                                       at(now));
