--- a/include/dockpoint/batch/batch_share.hpp
+++ b/include/dockpoint/batch/batch_share.hpp
@@ -35,7 +35,7 @@
   BatchShare(const Knobs& knobs, const FleetLoad& load);
 
   /// @return items that may run if they have time to spare.
-  std::size_t patient() const { return patient_; }
+  std::size_t non_urgent() const { return patient_; }
   /// @return items that may run if they are urgent; not below `patient`.
   std::size_t urgent() const { return urgent_; }
   /// @param running items of this node, @param urgent_running those of them that are urgent.
--- a/include/dockpoint/batch/due_time.hpp
+++ b/include/dockpoint/batch/due_time.hpp
@@ -25,7 +25,7 @@
 /// An item may be given up when `retention` has passed since its submission by every clock: the
 /// node that took the job and the one that looks now may both be wrong.
 /// @return whether it may; never without a retention.
-bool may_give_up(const Knobs& knobs, std::int64_t submitted_ms, Duration retention,
-                 std::int64_t now_ms);
+bool retention_expired(const Knobs& knobs, std::int64_t submitted_ms, Duration retention,
+                       std::int64_t now_ms);
 
 }  // namespace dockpoint
--- a/include/dockpoint/batch/group_member.hpp
+++ b/include/dockpoint/batch/group_member.hpp
@@ -29,7 +29,7 @@
   /// The partition goes to another node: end the work there, then call `released`.
   virtual void on_revoked(int partition) = 0;
   /// Another node may have owned the partition meanwhile: make sure before anything is told of it.
-  virtual void on_doubted(int partition) = 0;
+  virtual void on_ownership_uncertain(int partition) = 0;
   /// The partition is no longer this node's; drop everything held of it.
   virtual void on_lost(int partition) = 0;
 };
--- a/include/dockpoint/batch/partition_owner.hpp
+++ b/include/dockpoint/batch/partition_owner.hpp
@@ -71,9 +71,9 @@
   const JobLedger& ledger() const { return ledger_; }
   int partition() const { return partition_; }
   std::uint64_t epoch() const { return epoch_; }
-  std::size_t unwritten() const { return queue_.size() + writing_.size(); }
+  std::size_t pending_writes() const { return queue_.size() + writing_.size(); }
   /// @return whether a result of the item was handed in, confirmed or not.
-  bool has_unwritten(const std::string& job, std::uint32_t item) const;
+  bool has_pending_result(const std::string& job, std::uint32_t item) const;
 
  private:
   enum class Step { kFencing, kLoadingResults, kLoadingJobs, kActive, kFenced };
--- a/include/dockpoint/batch/partition_state.hpp
+++ b/include/dockpoint/batch/partition_state.hpp
@@ -51,7 +51,7 @@
 
 /// Whether a record changed the state.
 enum class RecordVerdict {
-  kTaken,
+  kApplied,
   kStaleEpoch,  ///< Written by a former owner, or a claim that lost.
   kRepeated,    ///< Says what was said before: the job exists, the item has its result, …
   kUnknownJob,
--- a/include/dockpoint/batch/token_quota.hpp
+++ b/include/dockpoint/batch/token_quota.hpp
@@ -62,7 +62,7 @@
 /// What a request may do while its answer is awaited.
 enum class QuotaStart {
   kWait,     ///< Nothing may be written of the job yet.
-  kGoAhead,  ///< The job may be written; it is accepted only with the answer `kReserved`.
+  kProceed,  ///< The job may be written; it is accepted only with the answer `kReserved`.
 };
 
 /// A route as the configuration in force has it, and the fleet around it.
--- a/src/batch/batch_share.cpp
+++ b/src/batch/batch_share.cpp
@@ -15,13 +15,13 @@
   const double part = load.all_items > 0 ? std::min(1.0, load.own_items / load.all_items) : 1;
   const double most = knobs.batch_slot_share * load.slots;
   const double left = load.slots - load.reserved - load.online;
-  const double patient = std::clamp(left, 0.0, most);
+  const double non_urgent = std::clamp(left, 0.0, most);
   const auto least = static_cast<std::size_t>(knobs.batch_least_items);
   // Parts below one are rounded up at some nodes and down at others.
   const auto own = [&](double slots) {
     return std::max(least, static_cast<std::size_t>(slots * part + load.rounding));
   };
-  patient_ = own(patient);
+  patient_ = own(non_urgent);
   urgent_ = std::max(patient_, own(knobs.batch_urgent_share * load.slots));
 }
 
--- a/src/batch/due_time.cpp
+++ b/src/batch/due_time.cpp
@@ -11,8 +11,8 @@
   return {submitted_ms + to_ms(target), to_ms(target)};
 }
 
-bool may_give_up(const Knobs& knobs, std::int64_t submitted_ms, Duration retention,
-                 std::int64_t now_ms) {
+bool retention_expired(const Knobs& knobs, std::int64_t submitted_ms, Duration retention,
+                       std::int64_t now_ms) {
   constexpr int kClocks = 2;
   return retention > Duration{} &&
          now_ms > submitted_ms + to_ms(retention + kClocks * knobs.clock_error);
--- a/src/batch/group_member.cpp
+++ b/src/batch/group_member.cpp
@@ -92,7 +92,7 @@
   for (const auto& [partition, owned] : before) {
     if (dealt.contains(partition)) {
       if (missed) {
-        observer_.on_doubted(partition);
+        observer_.on_ownership_uncertain(partition);
       }
     } else if (lapsed) {
       lose(partition);
--- a/src/batch/partition_controller.cpp
+++ b/src/batch/partition_controller.cpp
@@ -226,7 +226,7 @@
   const Epoch epoch = state_->epoch();
   append(ItemAttempt{epoch, job, item}, [this, job, item, epoch](RecordVerdict verdict) {
     const bool current = owned() && state_->epoch() == epoch;
-    if (verdict == RecordVerdict::kTaken && current) {
+    if (verdict == RecordVerdict::kApplied && current) {
       confirmed_attempts_[job].push_back(item);
     } else {
       queue_of(job).finish(item);
--- a/src/batch/partition_owner.cpp
+++ b/src/batch/partition_owner.cpp
@@ -174,7 +174,7 @@
   queue_.push_back({job, {checkpoint_record(job, item, step)}, std::nullopt});
 }
 
-bool PartitionOwner::has_unwritten(const std::string& job, std::uint32_t item) const {
+bool PartitionOwner::has_pending_result(const std::string& job, std::uint32_t item) const {
   const auto matches = [&](const PendingWrite& pending) {
     return pending.result && pending.result->item == item && pending.job == job;
   };
--- a/src/batch/partition_state.cpp
+++ b/src/batch/partition_state.cpp
@@ -65,7 +65,7 @@
   epoch_ = claim.epoch;
   owner_ = claim.owner;
   owner_run_ = claim.run;
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
 RecordVerdict PartitionState::take(Offset, const OwnershipRelease& release) {
@@ -74,7 +74,7 @@
   }
   owner_.clear();
   owner_run_ = 0;
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
 RecordVerdict PartitionState::take(Offset, const JobAccepted& accepted) {
@@ -93,7 +93,7 @@
   } else {
     job.ended_at = job.spec.created_at;
   }
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
 RecordVerdict PartitionState::take(Offset, const JobCancelled& cancelled) {
@@ -108,7 +108,7 @@
   job.cancelled = true;
   job.ended_at = cancelled.at;
   open_jobs_.erase(cancelled.job);
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
 RecordVerdict PartitionState::take(Offset, const ItemAttempt& attempt) {
@@ -124,7 +124,7 @@
     return RecordVerdict::kRepeated;
   }
   const bool first = job.attempts.emplace(attempt.item, attempt.epoch).second;
-  return first ? RecordVerdict::kTaken : RecordVerdict::kRepeated;
+  return first ? RecordVerdict::kApplied : RecordVerdict::kRepeated;
 }
 
 RecordVerdict PartitionState::take(Offset offset, const ItemCompleted& completed) {
@@ -153,14 +153,14 @@
     job.ended_at = completed.at;
     open_jobs_.erase(completed.job);
   }
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
 RecordVerdict PartitionState::take(Offset, const OnlineAttempt& attempt) {
   if (stale(attempt.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
-  return online_attempts_.emplace(attempt.key, attempt.token).second ? RecordVerdict::kTaken
+  return online_attempts_.emplace(attempt.key, attempt.token).second ? RecordVerdict::kApplied
                                                                      : RecordVerdict::kRepeated;
 }
 
@@ -170,7 +170,7 @@
     return RecordVerdict::kRepeated;
   }
   online_attempts_.erase(found);
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
 std::string PartitionState::snapshot() const {
--- a/src/batch/token_quota.cpp
+++ b/src/batch/token_quota.cpp
@@ -131,7 +131,7 @@
     allotted_tokens_[request.tenant] += request.tokens;
     allotted_.push_back({std::move(request), std::move(done)});
     write_allotted();
-    return QuotaStart::kGoAhead;
+    return QuotaStart::kProceed;
   }
   waiting_.push_back({std::move(request), std::move(done)});
   refresh();
--- a/src/gateway/batch_executor.cpp
+++ b/src/gateway/batch_executor.cpp
@@ -54,7 +54,7 @@
     return;
   }
   for (std::uint32_t item = 0; item < job.job.items.size(); ++item) {
-    if (!job.listed[item] && !owner.has_unwritten(job.job.id, item)) {
+    if (!job.listed[item] && !owner.has_pending_result(job.job.id, item)) {
       enqueue({owner.partition(), job.job.id, item});
     }
   }
@@ -216,7 +216,7 @@
 void BatchExecutor::start_waiting(TimePoint now, const BatchShare& share) {
   std::vector<Waiting> candidates;
   for (const Waiting& entry : waiting_) {
-    const std::size_t limit = is_urgent(entry.due) ? share.urgent() : share.patient();
+    const std::size_t limit = is_urgent(entry.due) ? share.urgent() : share.non_urgent();
     if (runs_.size() + candidates.size() >= limit) {
       break;
     }
@@ -252,20 +252,20 @@
 }
 
 void BatchExecutor::make_room(const BatchShare& share) {
-  std::vector<std::shared_ptr<ItemRun>> patient;
-  std::copy_if(runs_.begin(), runs_.end(), std::back_inserter(patient),
+  std::vector<std::shared_ptr<ItemRun>> non_urgent;
+  std::copy_if(runs_.begin(), runs_.end(), std::back_inserter(non_urgent),
                [&](const auto& run) { return !is_urgent(run->due()); });
-  const std::size_t excess = share.excess(runs_.size(), runs_.size() - patient.size());
+  const std::size_t excess = share.excess(runs_.size(), runs_.size() - non_urgent.size());
   if (excess == 0) {
     return;
   }
   spdlog::info("batch: runs make room for online requests count={} running={} allowed={}", excess,
-               runs_.size(), share.patient());
-  std::sort(patient.begin(), patient.end(), [](const auto& left, const auto& right) {
+               runs_.size(), share.non_urgent());
+  std::sort(non_urgent.begin(), non_urgent.end(), [](const auto& left, const auto& right) {
     return left->due().at_ms > right->due().at_ms;
   });
   for (std::size_t index = 0; index < excess; ++index) {
-    const std::shared_ptr<ItemRun>& run = patient[index];
+    const std::shared_ptr<ItemRun>& run = non_urgent[index];
     run->cancel();
     runs_.erase(run);
     context_.metrics.count_item("yielded");
@@ -371,7 +371,7 @@
   const LedgerJob* job = job_of(ref);
   const RouteConfig* route = job == nullptr ? nullptr : route_of(*job, job->job.items[ref.item]);
   return route != nullptr &&
-         may_give_up(context_.knobs, job->job.submitted_ms, route->retention, now_ms);
+         retention_expired(context_.knobs, job->job.submitted_ms, route->retention, now_ms);
 }
 
 void BatchExecutor::retry(const ItemRef& ref, Duration delay, TimePoint now) {
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -230,7 +230,7 @@
   });
   std::vector<int> idle;
   for (const auto& [partition, owner] : owners_) {
-    if (!executor_.running_in(partition) && owner->unwritten() == 0) {
+    if (!executor_.running_in(partition) && owner->pending_writes() == 0) {
       idle.push_back(partition);
     }
   }
@@ -247,7 +247,7 @@
 bool BatchService::drained() const {
   return executor_.running() == 0 && submissions_.empty() &&
          std::all_of(owners_.begin(), owners_.end(),
-                     [](const auto& entry) { return entry.second->unwritten() == 0; });
+                     [](const auto& entry) { return entry.second->pending_writes() == 0; });
 }
 
 void BatchService::leave() {
@@ -270,7 +270,7 @@
   executor_.hand_over(partition);
 }
 
-void BatchService::on_doubted(int partition) {
+void BatchService::on_ownership_uncertain(int partition) {
   if (PartitionOwner* owner = owner_of(partition)) {
     owner->verify();
   }
--- a/src/gateway/batch_service.hpp
+++ b/src/gateway/batch_service.hpp
@@ -80,7 +80,7 @@
   void on_partition_fenced(int partition) override;
   void on_acquired(int partition, std::uint64_t epoch) override;
   void on_revoked(int partition) override;
-  void on_doubted(int partition) override;
+  void on_ownership_uncertain(int partition) override;
   void on_lost(int partition) override;
 
   std::optional<State> find(const std::string& job) const override;
--- a/src/gateway/job_submissions.cpp
+++ b/src/gateway/job_submissions.cpp
@@ -195,7 +195,7 @@
                        take_quota_answer(submission, answer);
                      }
                    });
-  submission->may_write = submission->may_write || start == QuotaStart::kGoAhead;
+  submission->may_write = submission->may_write || start == QuotaStart::kProceed;
 }
 
 TokenQuota& JobSubmissions::quota_of(const std::string& route) {
--- a/src/http/peer_requests.cpp
+++ b/src/http/peer_requests.cpp
@@ -156,7 +156,7 @@
                       std::chrono::seconds(2)});
   }
   switch (confirmed.get()) {
-    case RecordVerdict::kTaken:
+    case RecordVerdict::kApplied:
       return {};
     case RecordVerdict::kRepeated:
       return fail(Error{ResultCode::kAlreadyAttempted,
--- a/src/simulation/sim_node_batch.cpp
+++ b/src/simulation/sim_node_batch.cpp
@@ -128,7 +128,7 @@
     const std::string id = job.id;
     const std::optional<Error> refused =
         controller_->accept_job(job, local_now(), [answer, id](RecordVerdict verdict) {
-          if (verdict == RecordVerdict::kTaken || verdict == RecordVerdict::kRepeated) {
+          if (verdict == RecordVerdict::kApplied || verdict == RecordVerdict::kRepeated) {
             answer(id, std::nullopt);
           } else {
             answer({}, not_owner());
--- a/src/simulation/sim_node_online.cpp
+++ b/src/simulation/sim_node_online.cpp
@@ -196,7 +196,7 @@
     }
     const std::optional<Error> refused =
         controller_->record_online_attempt(ticket, local_now(), [answer](RecordVerdict verdict) {
-          if (verdict == RecordVerdict::kTaken) {
+          if (verdict == RecordVerdict::kApplied) {
             answer(std::nullopt);
           } else if (verdict == RecordVerdict::kRepeated) {
             answer(Error{
--- a/tests/batch/batch_share_test.cpp
+++ b/tests/batch/batch_share_test.cpp
@@ -18,26 +18,26 @@
 BOOST_AUTO_TEST_SUITE(batch_share)
 
 BOOST_AUTO_TEST_CASE(items_fill_what_online_requests_leave) {
-  BOOST_TEST(BatchShare(knobs(), {100, 10, 0, 60, 60}).patient() == 60U);
-  BOOST_TEST(BatchShare(knobs(), {100, 10, 50, 60, 60}).patient() == 40U);
-  BOOST_TEST(BatchShare(knobs(), {100, 10, 50, 15, 60}).patient() == 10U);
+  BOOST_TEST(BatchShare(knobs(), {100, 10, 0, 60, 60}).non_urgent() == 60U);
+  BOOST_TEST(BatchShare(knobs(), {100, 10, 50, 60, 60}).non_urgent() == 40U);
+  BOOST_TEST(BatchShare(knobs(), {100, 10, 50, 15, 60}).non_urgent() == 10U);
 }
 
 BOOST_AUTO_TEST_CASE(slots_go_to_nodes_in_proportion_to_their_items) {
   // One node has a job of 90 items, nine nodes have one item each.
-  BOOST_TEST(BatchShare(knobs(), {100, 10, 0, 90, 99}).patient() == 54U);
-  BOOST_TEST(BatchShare(knobs(), {100, 10, 0, 1, 99}).patient() == 2U);
+  BOOST_TEST(BatchShare(knobs(), {100, 10, 0, 90, 99}).non_urgent() == 54U);
+  BOOST_TEST(BatchShare(knobs(), {100, 10, 0, 1, 99}).non_urgent() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(urgent_items_keep_their_share_under_any_load) {
   const BatchShare share(knobs(), {100, 10, 200, 40, 80});
   BOOST_TEST(share.urgent() == 30U);
-  BOOST_TEST(share.patient() == 2U);
+  BOOST_TEST(share.non_urgent() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_rise_of_online_requests_breaks_items_off_but_no_urgent_ones) {
   const BatchShare share(knobs(), {100, 10, 70, 60, 60});
-  BOOST_TEST(share.patient() == 20U);
+  BOOST_TEST(share.non_urgent() == 20U);
   BOOST_TEST(share.excess(24, 0) == 0U);
   BOOST_TEST(share.excess(25, 0) == 5U);
   BOOST_TEST(share.excess(50, 0) == 30U);
@@ -56,7 +56,7 @@
 
 BOOST_AUTO_TEST_CASE(an_unknown_fleet_still_runs_something) {
   const BatchShare share(knobs(), {0, 0, 0, 0, 0});
-  BOOST_TEST(share.patient() == 2U);
+  BOOST_TEST(share.non_urgent() == 2U);
   BOOST_TEST(share.urgent() == 2U);
   BOOST_TEST(share.excess(2, 0) == 0U);
 }
@@ -67,7 +67,7 @@
   // Ten nodes share five slots.
   std::size_t slots = 0;
   for (int node = 0; node < 10; ++node) {
-    slots += BatchShare(knobs, {100, 10, 85, 1, 10, 0.05 + 0.1 * node}).patient();
+    slots += BatchShare(knobs, {100, 10, 85, 1, 10, 0.05 + 0.1 * node}).non_urgent();
   }
   BOOST_TEST(slots == 5U);
 }
--- a/tests/batch/due_time_test.cpp
+++ b/tests/batch/due_time_test.cpp
@@ -25,12 +25,12 @@
   const std::int64_t submitted = 100'000;
   const std::int64_t stamped = submitted - 5'000;
   const std::int64_t shown_at_the_end = submitted + 60'000 + 5'000;
-  BOOST_TEST(!may_give_up(knobs, stamped, 60s, shown_at_the_end));
-  BOOST_TEST(may_give_up(knobs, stamped, 60s, shown_at_the_end + 1));
+  BOOST_TEST(!retention_expired(knobs, stamped, 60s, shown_at_the_end));
+  BOOST_TEST(retention_expired(knobs, stamped, 60s, shown_at_the_end + 1));
 }
 
 BOOST_AUTO_TEST_CASE(an_item_without_a_retention_is_never_given_up) {
-  BOOST_TEST(!may_give_up(Knobs{}, 0, Duration{}, 1'000'000'000));
+  BOOST_TEST(!retention_expired(Knobs{}, 0, Duration{}, 1'000'000'000));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/batch/group_member_test.cpp
+++ b/tests/batch/group_member_test.cpp
@@ -29,7 +29,7 @@
 
   void on_acquired(int /*partition*/, std::uint64_t /*epoch*/) override { ++acquired; }
   void on_revoked(int partition) override { member.released(partition); }
-  void on_doubted(int /*partition*/) override {}
+  void on_ownership_uncertain(int /*partition*/) override {}
   void on_lost(int /*partition*/) override { ++lost; }
 };
 
--- a/tests/batch/partition_ownership_test.cpp
+++ b/tests/batch/partition_ownership_test.cpp
@@ -126,7 +126,7 @@
     run_items();
     std::vector<int> idle;
     for (auto& [partition, owner] : owners_) {
-      if (owner->unwritten() == 0) {
+      if (owner->pending_writes() == 0) {
         idle.push_back(partition);
       }
     }
@@ -152,7 +152,7 @@
       }
       for (const auto& [id, job] : owner->ledger().jobs()) {
         for (std::uint32_t item = 0; !job.ended && item < job.job.items.size(); ++item) {
-          if (!job.listed[item] && !owner->has_unwritten(id, item) && random_() % 10 == 0) {
+          if (!job.listed[item] && !owner->has_pending_result(id, item) && random_() % 10 == 0) {
             owner->write_checkpoint(id, item, {"part", 1, 0}, true);
             owner->write_result(id, {item, true, id + std::to_string(item)});
           }
@@ -172,7 +172,7 @@
                                          static_cast<PartitionOwnerObserver&>(*this));
   }
   void on_revoked(int) override {}
-  void on_doubted(int partition) override { owners_[partition]->verify(); }
+  void on_ownership_uncertain(int partition) override { owners_[partition]->verify(); }
   void on_lost(int partition) override { owners_.erase(partition); }
 
   const Knobs& knobs_;
--- a/tests/batch/partition_state_test.cpp
+++ b/tests/batch/partition_state_test.cpp
@@ -15,7 +15,7 @@
     return state.apply(offset, PartitionRecord{{1, ++number}, std::move(body)});
   }
   void take_over(Epoch epoch, const std::string& owner) {
-    BOOST_TEST((add(OwnershipClaim{epoch, epoch - 1, owner, 1}) == RecordVerdict::kTaken));
+    BOOST_TEST((add(OwnershipClaim{epoch, epoch - 1, owner, 1}) == RecordVerdict::kApplied));
   }
   RecordVerdict accept(Epoch epoch, const std::string& id, ItemIndex items) {
     JobAccepted accepted;
@@ -52,7 +52,7 @@
 
 BOOST_AUTO_TEST_CASE(a_former_owner_decides_nothing) {
   take_over(1, "a");
-  BOOST_TEST((accept(1, "job", 2) == RecordVerdict::kTaken));
+  BOOST_TEST((accept(1, "job", 2) == RecordVerdict::kApplied));
   take_over(2, "b");
   BOOST_TEST((accept(1, "other", 2) == RecordVerdict::kStaleEpoch));
   BOOST_TEST((add(ItemAttempt{1, "job", 0}) == RecordVerdict::kStaleEpoch));
@@ -64,7 +64,7 @@
   accept(1, "job", 2);
   take_over(2, "b");
   const Offset first = state.next_offset();
-  BOOST_TEST((complete("job", 0, "from a") == RecordVerdict::kTaken));
+  BOOST_TEST((complete("job", 0, "from a") == RecordVerdict::kApplied));
   BOOST_TEST((complete("job", 0, "from b") == RecordVerdict::kRepeated));
   BOOST_TEST(state.find_job("job")->results[0] == first + 1);
   BOOST_TEST(state.find_job("job")->completed == 1U);
@@ -77,7 +77,7 @@
   take_over(1, "a");
   accept(1, "job", 2);
   complete("job", 0);
-  BOOST_TEST((add(JobCancelled{"job", 9}) == RecordVerdict::kTaken));
+  BOOST_TEST((add(JobCancelled{"job", 9}) == RecordVerdict::kApplied));
   BOOST_TEST((complete("job", 1) == RecordVerdict::kRepeated));
   BOOST_TEST((add(ItemAttempt{1, "job", 1}) == RecordVerdict::kRepeated));
   BOOST_TEST(state.find_job("job")->completed == 1U);
@@ -87,7 +87,7 @@
 BOOST_AUTO_TEST_CASE(an_item_is_attempted_once) {
   take_over(1, "a");
   accept(1, "job", 1);
-  BOOST_TEST((add(ItemAttempt{1, "job", 0}) == RecordVerdict::kTaken));
+  BOOST_TEST((add(ItemAttempt{1, "job", 0}) == RecordVerdict::kApplied));
   BOOST_TEST((add(ItemAttempt{1, "job", 0}) == RecordVerdict::kRepeated));
   take_over(2, "b");
   BOOST_TEST((add(ItemAttempt{2, "job", 0}) == RecordVerdict::kRepeated));
@@ -95,12 +95,12 @@
 
 BOOST_AUTO_TEST_CASE(only_the_holder_of_a_key_frees_it) {
   take_over(1, "a");
-  BOOST_TEST((add(OnlineAttempt{1, "key", "t1"}) == RecordVerdict::kTaken));
+  BOOST_TEST((add(OnlineAttempt{1, "key", "t1"}) == RecordVerdict::kApplied));
   BOOST_TEST((add(OnlineAttempt{1, "key", "t2"}) == RecordVerdict::kRepeated));
   BOOST_TEST((add(OnlineAttemptWithdrawn{"key", "t2"}) == RecordVerdict::kRepeated));
   BOOST_TEST(state.online_attempted("key"));
-  BOOST_TEST((add(OnlineAttemptWithdrawn{"key", "t1"}) == RecordVerdict::kTaken));
-  BOOST_TEST((add(OnlineAttempt{1, "key", "t2"}) == RecordVerdict::kTaken));
+  BOOST_TEST((add(OnlineAttemptWithdrawn{"key", "t1"}) == RecordVerdict::kApplied));
+  BOOST_TEST((add(OnlineAttempt{1, "key", "t2"}) == RecordVerdict::kApplied));
 }
 
 BOOST_AUTO_TEST_CASE(a_snapshot_continues_like_the_whole_history) {
--- a/tests/batch/token_quota_test.cpp
+++ b/tests/batch/token_quota_test.cpp
@@ -159,7 +159,7 @@
                            [this, id, started, sent = now_](const QuotaAnswer& answer) {
                              take(id, answer, sent, *started);
                            });
-    if (start == QuotaStart::kGoAhead) {
+    if (start == QuotaStart::kProceed) {
       *started = true;
       job.in_log = true;
     }
@@ -295,8 +295,8 @@
 BOOST_FIXTURE_TEST_CASE(far_below_the_limit_a_job_need_not_wait_for_the_log, Fixture) {
   route.limit = 1'000;
   run(10'000);
-  BOOST_TEST((reserve("a", 60) == QuotaStart::kGoAhead));
-  BOOST_TEST((reserve("b", 60) == QuotaStart::kGoAhead));
+  BOOST_TEST((reserve("a", 60) == QuotaStart::kProceed));
+  BOOST_TEST((reserve("b", 60) == QuotaStart::kProceed));
   BOOST_TEST((reserve("c", 60) == QuotaStart::kWait));  // The node's part is 125.
   run(100);
   BOOST_REQUIRE(answers.size() == 3);
