--- a/include/dockpoint/batch/batch_dispatcher.hpp
+++ b/include/dockpoint/batch/batch_dispatcher.hpp
@@ -11,12 +11,12 @@
 
 namespace dockpoint {
 
-/// The partitions that a node follows, by number.
+/// The partitions that a node follows, keyed by partition number.
 using Partitions = std::map<int, std::unique_ptr<PartitionController>>;
 
-/// Sends the items of a node's partitions while engines have room for them: picks the job by the
-/// scheduler's order, and the engine with the most room in this node's allowance. Not thread-safe;
-/// borrows all references.
+/// Dispatches items of the node's partitions to engines with free capacity. The scheduler selects
+/// the job; the engine is the one with the most free slots in this node's allowance.
+/// Not thread-safe; borrows all references.
 class BatchDispatcher {
  public:
   using Dispatch = std::function<void(const ItemDispatch&)>;
@@ -29,15 +29,15 @@
   BatchDispatcher(const Knobs& knobs, Options options, EngineTable& engines, Partitions& partitions,
                   Dispatch dispatch);
 
-  /// @return how many jobs could send an item now, plus the items under way: what the other nodes
-  /// are told, who share the idle capacity with this one.
+  /// @return the number of jobs with an item ready to send plus the number of items in flight. It
+  /// is advertised to the other nodes, which share the idle capacity with this one.
   std::uint32_t demand(TimePoint now, UnixSeconds wall_clock);
 
-  /// Sends what fits now.
-  /// @param nodes that have batch items to send, this one included.
+  /// Sends as many ready items as current capacity allows.
+  /// @param nodes number of nodes with batch items to send, including this one.
   void send_items(int nodes, TimePoint now, UnixSeconds wall_clock);
 
-  /// Counts an item that ended.
+  /// Releases the capacity of an item whose dispatch ended and reports the engine's health signal.
   void item_ended(const ItemOutcome& outcome, TimePoint now);
 
   int in_flight() const { return in_flight_; }
@@ -54,7 +54,7 @@
   Partitions& partitions_;
   const Dispatch dispatch_;
   BatchScheduler scheduler_;
-  std::map<std::string, Selector> selectors_;  ///< Of jobs, by their text.
+  std::map<std::string, Selector> selectors_;  ///< Parsed job selectors, keyed by their JSON text.
   int in_flight_ = 0;
 };
 
--- a/include/dockpoint/batch/batch_share.hpp
+++ b/include/dockpoint/batch/batch_share.hpp
@@ -4,48 +4,50 @@
 
 #include "dockpoint/core/knobs.hpp"
 
-/// How many batch items one node may have running.
+/// Limits on the number of batch items that one node may run.
 ///
-/// Batch fills what online requests leave: all slots, less some kept free at each engine, less
-/// those that online requests of all nodes hold right now, divided among the nodes in proportion to
-/// the items that each has to run.
-/// What is kept free is a number and not a share: loads are known late, so that an engine's load
-/// strays from the mean by about as many requests whether it has 7 slots or 19. When online
-/// requests rise, items with time to spare are broken off and go on later behind what they have
-/// produced. Items that would come late otherwise keep a fixed share of all slots, whatever online
-/// requests do.
+/// Batch items use the capacity left by online requests: all slots, minus those reserved at each
+/// engine, minus those in use by online requests of all nodes. The remainder is divided among the
+/// nodes in proportion to their outstanding items.
+/// The reserve is an absolute number of slots, not a percentage: load reports arrive with a delay,
+/// and an engine's load deviates from the mean by about the same number of requests whether it has
+/// 7 slots or 19. When online load rises, non-urgent items are interrupted and later resume from
+/// their checkpoints. Urgent items, which would otherwise miss their deadline, keep a fixed share
+/// of all slots regardless of online load.
 namespace dockpoint {
 
-/// Engines of the fleet as this node sees them.
+/// This node's view of the fleet's engines and their load.
 struct FleetLoad {
-  int slots = 0;         ///< Of all engines that take new work.
-  double reserved = 0;   ///< Of those, kept free of batch; see `reserved_slots`.
-  int online = 0;        ///< Online requests in flight there, of all nodes.
-  double own_items = 0;  ///< That this node runs or has to run.
-  double all_items = 0;  ///< That all nodes do, this one included.
-  double rounding = 0;  ///< From 0 to 1, spread over the nodes: share of a slot that counts as one.
+  int slots = 0;         ///< Total slots of all engines that accept new work.
+  double reserved = 0;   ///< Slots among these reserved for online; see `reserved_slots`.
+  int online = 0;        ///< Online requests of all nodes in flight on these engines.
+  double own_items = 0;  ///< Items that this node runs or has yet to run.
+  double all_items = 0;  ///< Items that all nodes, including this one, run or have yet to run.
+  double rounding = 0;   ///< Rounding offset in [0, 1], staggered across the nodes.
 };
 
-/// @return how many of an engine's slots are kept free of batch.
+/// @return the number of an engine's slots that batch items must leave free.
 double reserved_slots(const Knobs& knobs, int slots);
 
-/// See the top of this file. Free of I/O and clocks.
+/// Batch concurrency limits of one node, see the top of this file. Performs no I/O and reads no
+/// clock.
 class BatchShare {
  public:
   BatchShare(const Knobs& knobs, const FleetLoad& load);
 
-  /// @return items that may run if they have time to spare.
-  std::size_t non_urgent() const { return patient_; }
-  /// @return items that may run if they are urgent; not below `patient`.
+  /// @return the maximum number of running items for which a non-urgent item may still start.
+  std::size_t non_urgent() const { return non_urgent_; }
+  /// @return the same limit for an urgent item; at least `non_urgent()`.
   std::size_t urgent() const { return urgent_; }
-  /// @param running items of this node, @param urgent_running those of them that are urgent.
-  /// @return how many items with time to spare have to make room. A few more than allowed are
-  /// left running, so that a small change of load breaks nothing off.
+  /// @param running number of items that this node runs.
+  /// @param urgent_running number of urgent items among them.
+  /// @return the number of non-urgent items to interrupt. Zero while the limit is exceeded only
+  /// within a tolerance, so that small load changes interrupt nothing.
   std::size_t excess(std::size_t running, std::size_t urgent_running) const;
 
  private:
   const double tolerance_;
-  std::size_t patient_ = 0;
+  std::size_t non_urgent_ = 0;
   std::size_t urgent_ = 0;
 };
 
--- a/include/dockpoint/batch/due_time.hpp
+++ b/include/dockpoint/batch/due_time.hpp
@@ -4,27 +4,29 @@
 
 #include "dockpoint/core/knobs.hpp"
 
-/// When an item has to be done, and when it may be given up. Free of I/O and clocks: the time of
-/// day is handed in, and may be wrong by `Knobs::clock_error` at each node.
+/// Due time and retention of batch items. Performs no I/O and reads no clock: the caller passes the
+/// wall-clock time, which may be off by up to `Knobs::clock_error` on each node.
 namespace dockpoint {
 
-/// When an item has to be done.
+/// The time by which an item has to be completed.
 struct DueTime {
-  std::int64_t at_ms = 0;       ///< Time of day.
-  std::int64_t allowed_ms = 0;  ///< From the job's submission until then.
+  std::int64_t at_ms = 0;       ///< Unix time in milliseconds.
+  std::int64_t allowed_ms = 0;  ///< Time from the job's submission to the due time.
 
-  /// @return whether it is too late.
+  /// @return whether the due time has passed.
   bool overdue(std::int64_t now_ms) const { return now_ms > at_ms; }
-  /// @return whether only the last part of the time is left.
+  /// @return whether less than `Knobs::batch_urgent_time` of the allowed time is left.
   bool urgent(const Knobs& knobs, std::int64_t now_ms) const;
 };
 
-/// @return when an item is due whose job was submitted at `submitted_ms` and may take `target`.
+/// @return the due time of an item whose job was submitted at `submitted_ms` (unix time) and has
+/// the completion target `target`.
 DueTime due_time(std::int64_t submitted_ms, Duration target);
 
-/// An item may be given up when `retention` has passed since its submission by every clock: the
-/// node that took the job and the one that looks now may both be wrong.
-/// @return whether it may; never without a retention.
+/// An unfinished item may be abandoned once `retention` has passed since its submission. The
+/// clocks of the accepting node and of this node may both be off, so twice the clock error is
+/// added.
+/// @return whether the retention has expired; always false if `retention` is zero.
 bool retention_expired(const Knobs& knobs, std::int64_t submitted_ms, Duration retention,
                        std::int64_t now_ms);
 
--- a/include/dockpoint/batch/group_member.hpp
+++ b/include/dockpoint/batch/group_member.hpp
@@ -11,26 +11,27 @@
 #include "dockpoint/core/life.hpp"
 #include "dockpoint/log/partitioned_log.hpp"
 
-/// This node's membership in the group that owns the partitions of batch jobs.
+/// This node's membership in the consumer group that owns the partitions of batch jobs.
 ///
-/// The member renews its lease three times in its length. A partition that is taken away is
-/// released only when the node says that its work there has ended (or too much time has passed):
-/// until then the member names the generation before. If renewals failed for longer than the
-/// lease, or generations were missed, others may have owned a partition in between: the node is
-/// told to doubt it, and asks the log whether its epoch still counts.
+/// The member renews its lease three times per lease duration. A revoked partition is released only
+/// once the node reports that its work there has ended, or after a drain timeout; until then the
+/// member reports the previous generation. If renewals failed for longer than the lease, or
+/// generations were skipped, another node may have owned a partition in between: the observer is
+/// notified that ownership is uncertain and verifies its epoch against the log.
 namespace dockpoint {
 
-/// Receives the dealing.
+/// Receives changes of the partition assignment.
 class GroupMemberObserver {
  public:
   virtual ~GroupMemberObserver() = default;
-  /// The partition is this node's, under `epoch`.
+  /// The partition was assigned to this node under `epoch`.
   virtual void on_acquired(int partition, std::uint64_t epoch) = 0;
-  /// The partition goes to another node: end the work there, then call `released`.
+  /// The partition was assigned to another node: finish the work in progress, then call `released`.
   virtual void on_revoked(int partition) = 0;
-  /// Another node may have owned the partition meanwhile: make sure before anything is told of it.
+  /// Another node may have owned the partition in the meantime: verify the epoch before serving
+  /// reads from it.
   virtual void on_ownership_uncertain(int partition) = 0;
-  /// The partition is no longer this node's; drop everything held of it.
+  /// This node no longer owns the partition; discard all state of it.
   virtual void on_lost(int partition) = 0;
 };
 
@@ -42,18 +43,18 @@
   ~GroupMember();
 
   void tick(TimePoint now);
-  /// The work on a revoked partition has ended.
+  /// Reports that the work on a revoked partition has ended.
   void released(int partition);
-  /// The node was fenced on this partition: it is lost, and acquired again under the newest
-  /// generation if it is still dealt to this node.
+  /// Reports that the node was fenced on this partition. The partition is dropped, and acquired
+  /// again under the newest generation if it is still assigned to this node.
   void fenced(int partition);
-  /// Gives all partitions back; no call after this.
+  /// Leaves the group and drops all partitions. No other method may be called afterwards.
   void leave();
 
   bool joined() const { return generation_ > 0; }
-  /// @return whether the last renewal is recent enough to answer reads. It counts from when it was
-  /// sent, which is before it arrived. The time is shorter than the lease, because the log may deal
-  /// partitions anew without waiting for leases to run out.
+  /// @return whether the last renewal is recent enough to serve reads. Its age is measured from the
+  /// time it was sent, which precedes its arrival. The validity is shorter than the lease because
+  /// the log may rebalance partitions without waiting for leases to expire.
   bool lease_valid(TimePoint now) const;
   std::uint64_t generation() const { return generation_; }
 
@@ -65,8 +66,8 @@
   };
 
   void join();
-  void take(const JoinOutcome& outcome, TimePoint sent_at);
-  void lose(int partition);
+  void handle_join(const JoinOutcome& outcome, TimePoint sent_at);
+  void drop_partition(int partition);
   bool draining() const;
   Duration lease() const;
 
@@ -84,9 +85,9 @@
   TimePoint renewed_at_{};
   bool calling_ = false;
   bool left_ = false;
-  bool fenced_ = false;                    ///< On some partition, since the dealing was last taken.
-  std::uint64_t generation_ = 0;           ///< Last heard.
-  std::uint64_t released_generation_ = 0;  ///< Last whose revocations are carried out.
+  bool fenced_ = false;           ///< Fenced on some partition since the last handled join.
+  std::uint64_t generation_ = 0;  ///< Newest generation received.
+  std::uint64_t released_generation_ = 0;  ///< Newest generation whose revocations are complete.
   std::map<int, Owned> owned_;
 };
 
--- a/include/dockpoint/batch/job_ledger.hpp
+++ b/include/dockpoint/batch/job_ledger.hpp
@@ -88,13 +88,13 @@
 class ChunkAssembler {
  public:
   /// A value that is complete.
-  struct Whole {
+  struct Value {
     std::string name;  ///< Key without the number of the chunk.
     std::string value;
     LogOffset offset = 0;  ///< Of its last record.
   };
   /// Takes a record. @return the value, if this record completes it.
-  std::optional<Whole> add(const KeyedRecord& record);
+  std::optional<Value> add(const KeyedRecord& record);
 
  private:
   struct Parts {
@@ -120,7 +120,7 @@
  public:
   /// Takes a record of the topic of jobs.
   /// @return the job that it brought or ended, or nothing.
-  std::optional<std::string> take_job_record(const KeyedRecord& record);
+  std::optional<std::string> apply_job_record(const KeyedRecord& record);
   /// Takes the results and checkpoints of a partition, as loaded.
   void load_results(std::vector<KeyedRecord> records);
   /// Adds a result that was written; a second one of the same item is dropped.
@@ -139,7 +139,7 @@
 
  private:
   /// A key of the topic of jobs was removed.
-  void forget(const std::string& key);
+  void remove_job(const std::string& key);
 
   ChunkAssembler assembler_;
   std::map<std::string, LedgerJob> jobs_;
--- a/include/dockpoint/batch/partition_owner.hpp
+++ b/include/dockpoint/batch/partition_owner.hpp
@@ -92,12 +92,12 @@
   void raise_epoch();
   void load_results();
   void write_queue();
-  void take_from_queue();
+  void fill_append();
   std::uint32_t& next_step(const std::string& job, std::uint32_t item);
-  void take_append(const AppendOutcome& outcome);
+  void handle_append(const AppendOutcome& outcome);
   void retry_later();
   void become_fenced();
-  void take_job_record(const KeyedRecord& record);
+  void apply_job_record(const KeyedRecord& record);
   ProducerPosition position() const;
 
   const Knobs& knobs_;
@@ -116,11 +116,12 @@
   TimePoint now_{};
   TimePoint retry_at_{};
   int failures_ = 0;
-  std::string page_key_;
+  std::string last_page_key_;
   std::vector<KeyedRecord> loaded_results_;
   std::uint64_t sequence_ = 0;
   bool unverified_ = false;
-  bool append_open_ = false;  ///< An append was sent under `sequence_` and has not been confirmed.
+  bool append_unconfirmed_ =
+      false;  ///< An append was sent under `sequence_` and has not been confirmed.
   std::deque<PendingWrite> queue_;
   std::map<std::pair<std::string, std::uint32_t>, std::uint32_t>
       checkpoint_steps_;               ///< Next numbers.
--- a/include/dockpoint/batch/partition_state.hpp
+++ b/include/dockpoint/batch/partition_state.hpp
@@ -89,14 +89,14 @@
                                                  const Mechanisms& mechanisms = {});
 
  private:
-  RecordVerdict take(Offset offset, const OwnershipClaim& claim);
-  RecordVerdict take(Offset offset, const OwnershipRelease& release);
-  RecordVerdict take(Offset offset, const JobAccepted& accepted);
-  RecordVerdict take(Offset offset, const JobCancelled& cancelled);
-  RecordVerdict take(Offset offset, const ItemAttempt& attempt);
-  RecordVerdict take(Offset offset, const ItemCompleted& completed);
-  RecordVerdict take(Offset offset, const OnlineAttempt& attempt);
-  RecordVerdict take(Offset offset, const OnlineAttemptWithdrawn& withdrawn);
+  RecordVerdict apply_body(Offset offset, const OwnershipClaim& claim);
+  RecordVerdict apply_body(Offset offset, const OwnershipRelease& release);
+  RecordVerdict apply_body(Offset offset, const JobAccepted& accepted);
+  RecordVerdict apply_body(Offset offset, const JobCancelled& cancelled);
+  RecordVerdict apply_body(Offset offset, const ItemAttempt& attempt);
+  RecordVerdict apply_body(Offset offset, const ItemCompleted& completed);
+  RecordVerdict apply_body(Offset offset, const OnlineAttempt& attempt);
+  RecordVerdict apply_body(Offset offset, const OnlineAttemptWithdrawn& withdrawn);
 
   /// @return whether a record that decides something was written by a former owner.
   bool stale(Epoch epoch) const;
--- a/include/dockpoint/batch/reservation_table.hpp
+++ b/include/dockpoint/batch/reservation_table.hpp
@@ -33,7 +33,7 @@
   void clear();
   /// Takes a record; those of other routes are ignored.
   /// @return tokens by which the job's reservation has shrunk.
-  double take(const KeyedRecord& record);
+  double apply(const KeyedRecord& record);
 
   /// @return the reservation that a record is about, as it stands before the record is taken.
   std::optional<TokenReservation> find_record(const KeyedRecord& record) const;
--- a/include/dockpoint/batch/token_quota.hpp
+++ b/include/dockpoint/batch/token_quota.hpp
@@ -122,16 +122,16 @@
   void on_current() override;
   void on_reachable(bool reachable, Duration silence) override;
 
-  void note_job_size(double tokens);
+  void record_job_size(double tokens);
   /// @return whether the limit is so wide that nodes may have allotments.
-  bool wide() const;
+  bool allotments_enabled() const;
   /// @return tokens that a tenant's reservations by compare and set may come to.
   double usable_limit(const std::string& tenant) const;
   void renew_allotments();
   /// @return tokens of a tenant that may be taken without reading.
   double allotment(const std::string& tenant) const;
   /// @return whether a reservation can be relied upon without writing it again.
-  bool recent(const TokenReservation& reservation) const;
+  bool is_recent(const TokenReservation& reservation) const;
   Duration time_to_free(const std::string& tenant, double tokens) const;
 
   /// Reads the topic to its end.
--- a/src/batch/batch_dispatcher.cpp
+++ b/src/batch/batch_dispatcher.cpp
@@ -5,7 +5,7 @@
 namespace dockpoint {
 namespace {
 
-/// Expected time of one item, for the order of jobs only.
+/// Assumed duration of one item. Used only to rank jobs by slack.
 constexpr double kExpectedItemSeconds = 1.0;
 
 }  // namespace
@@ -73,7 +73,7 @@
   const EngineView* engine = engine_for(spec_of(*chosen), nodes, now);
   std::optional<ItemDispatch> item = partitions_.at(chosen->partition)->take_item(chosen->job, now);
   if (!item) {
-    return true;  // Its attempt is being recorded first.
+    return true;  // The item is sent once its attempt record is confirmed.
   }
   item->engine = engine->config.name;
   item->engine_address = engine->config.address;
@@ -114,7 +114,7 @@
   }
   Selector selector;
   if (!job.selector.empty()) {
-    // It was checked when the job was accepted.
+    // The selector was validated when the job was accepted.
     error_of([&]() -> Result<void> {
       BOOST_LEAF_AUTO(object, parse_json_object(job.selector));
       Problems problems;
--- a/src/batch/group_member.cpp
+++ b/src/batch/group_member.cpp
@@ -61,22 +61,22 @@
             [this, life = life_, sent_at = now_](const JoinOutcome& outcome) {
               if (life->alive) {
                 calling_ = false;
-                take(outcome, sent_at);
+                handle_join(outcome, sent_at);
               }
             });
 }
 
-void GroupMember::take(const JoinOutcome& outcome, TimePoint sent_at) {
+void GroupMember::handle_join(const JoinOutcome& outcome, TimePoint sent_at) {
   if (left_) {
     return;
   }
-  std::uniform_int_distribution<std::int64_t> spread(lease().count() / 4, lease().count() / 3);
-  next_join_ = now_ + Duration(spread(random_));
+  std::uniform_int_distribution<std::int64_t> jitter(lease().count() / 4, lease().count() / 3);
+  next_join_ = now_ + Duration(jitter(random_));
   if (outcome.status != LogStatus::kOk) {
     return;
   }
-  const bool lapsed = generation_ > 0 && sent_at - renewed_at_ > lease();
-  const bool missed = lapsed || outcome.generation > generation_ + 1;
+  const bool lease_expired = generation_ > 0 && sent_at - renewed_at_ > lease();
+  const bool ownership_uncertain = lease_expired || outcome.generation > generation_ + 1;
   const bool fenced = std::exchange(fenced_, false);
   const bool changed = fenced || outcome.generation != generation_;
   renewed_at_ = sent_at;
@@ -84,28 +84,29 @@
   if (!changed) {
     return;
   }
-  std::set<int> dealt;
+  std::set<int> assigned;
   for (const TopicPartition& partition : outcome.partitions) {
-    dealt.insert(partition.partition);
+    assigned.insert(partition.partition);
   }
   const std::map<int, Owned> before = owned_;
   for (const auto& [partition, owned] : before) {
-    if (dealt.contains(partition)) {
-      if (missed) {
+    if (assigned.contains(partition)) {
+      if (ownership_uncertain) {
         observer_.on_ownership_uncertain(partition);
       }
-    } else if (lapsed) {
-      lose(partition);
+    } else if (lease_expired) {
+      drop_partition(partition);
     } else if (!owned.revoked) {
       owned_[partition].revoked = true;
       owned_[partition].revoked_at = now_;
       observer_.on_revoked(partition);
     }
   }
-  for (const int partition : dealt) {
+  for (const int partition : assigned) {
     const auto found = owned_.find(partition);
     if (found != owned_.end() && found->second.revoked) {
-      lose(partition);  // Dealt back before it was released: nobody else has had it.
+      drop_partition(
+          partition);  // Reassigned before it was released, so no other node has owned it.
     }
     if (!owned_.contains(partition)) {
       owned_[partition] = {generation_, false, {}};
@@ -113,7 +114,7 @@
     }
   }
   if (generation_ != released_generation_ && !draining()) {
-    next_join_ = now_;  // Release at once what was taken away.
+    next_join_ = now_;  // No partition has to be drained: confirm the revocations immediately.
   }
 }
 
@@ -122,21 +123,22 @@
   if (found == owned_.end() || !found->second.revoked) {
     return;
   }
-  lose(partition);
+  drop_partition(partition);
   if (!draining()) {
     next_join_ = now_;
   }
 }
 
 void GroupMember::fenced(int partition) {
-  lose(partition);
-  // The epoch that fenced it may be of a generation that this node has heard: the partition was
-  // away and came back while it could not hear. It is still dealt to it then, and nobody else's.
+  drop_partition(partition);
+  // The fencing epoch may belong to a generation that this node has already received: the partition
+  // moved away and back while this node was disconnected. It is then still assigned to this node,
+  // so the next join acquires it again even if the generation is unchanged.
   fenced_ = true;
   next_join_ = now_;
 }
 
-void GroupMember::lose(int partition) {
+void GroupMember::drop_partition(int partition) {
   if (owned_.erase(partition) > 0) {
     observer_.on_lost(partition);
   }
@@ -149,7 +151,7 @@
   left_ = true;
   const std::map<int, Owned> before = owned_;
   for (const auto& [partition, owned] : before) {
-    lose(partition);
+    drop_partition(partition);
   }
   log_.leave(group_, name_, [](LogStatus) {});
 }
--- a/src/batch/item_queue.cpp
+++ b/src/batch/item_queue.cpp
@@ -35,8 +35,8 @@
 void ItemQueue::retry(ItemIndex item, int attempts, TimePoint now) {
   in_flight_.erase(item);
   attempts_[item] = attempts;
-  constexpr int kMaximumDoublings = 10;
-  const Duration delay = knobs_->item_retry_delay * (1 << std::min(attempts, kMaximumDoublings));
+  constexpr int kMaxDoublings = 10;
+  const Duration delay = knobs_->item_retry_delay * (1 << std::min(attempts, kMaxDoublings));
   waiting_[item] = now + std::min(delay, knobs_->item_retry_delay_limit);
 }
 
@@ -51,7 +51,8 @@
 }
 
 void ItemQueue::skip_finished(const JobState& job) {
-  // Items with a recorded attempt belong to a former owner; this one must not send them.
+  // The recorded attempt of an item beyond the cursor was made by a former owner, so this owner
+  // must not send the item.
   while (cursor_ < job.spec.items && (job.has_result(cursor_) || job.attempts.contains(cursor_))) {
     ++cursor_;
   }
--- a/src/batch/job_ledger.cpp
+++ b/src/batch/job_ledger.cpp
@@ -68,8 +68,8 @@
   return value;
 }
 
-std::vector<KeyedRecord> cut(const std::string& name, std::string_view value,
-                             std::size_t record_bytes) {
+std::vector<KeyedRecord> split_into_records(const std::string& name, std::string_view value,
+                                            std::size_t record_bytes) {
   const std::size_t piece_bytes = record_bytes - std::min(record_bytes / 2, kRecordOverhead);
   const auto count = static_cast<std::uint32_t>((value.size() + piece_bytes - 1) / piece_bytes);
   std::vector<KeyedRecord> records;
@@ -131,7 +131,7 @@
 }
 
 std::vector<KeyedRecord> job_records(const BatchJob& job, std::size_t record_bytes) {
-  return cut(kJobPrefix + job.id, pack(to_wire(job)), record_bytes);
+  return split_into_records(kJobPrefix + job.id, pack(to_wire(job)), record_bytes);
 }
 
 KeyedRecord end_record(const std::string& job) {
@@ -141,7 +141,8 @@
 std::vector<KeyedRecord> result_records(const std::string& job, const ItemResult& result,
                                         std::size_t record_bytes) {
   const std::string name = kResultPrefix + job + kSeparator + std::to_string(result.item);
-  return cut(name, pack(ResultWire{result.item, result.succeeded, result.text}), record_bytes);
+  return split_into_records(name, pack(ResultWire{result.item, result.succeeded, result.text}),
+                            record_bytes);
 }
 
 KeyedRecord checkpoint_record(const std::string& job, std::uint32_t item,
@@ -164,7 +165,7 @@
   return static_cast<int>(hash64(job) % static_cast<std::uint64_t>(std::max(1, partitions)));
 }
 
-std::optional<ChunkAssembler::Whole> ChunkAssembler::add(const KeyedRecord& record) {
+std::optional<ChunkAssembler::Value> ChunkAssembler::add(const KeyedRecord& record) {
   constexpr std::size_t kCountBytes = 4;
   const std::size_t slash = record.key.rfind(kSeparator);
   if (slash == std::string::npos || record.value.size() < kCountBytes) {
@@ -182,20 +183,20 @@
   if (parts.chunks.size() < count) {
     return std::nullopt;
   }
-  Whole whole{name, {}, parts.offset};
+  Value value_read{name, {}, parts.offset};
   for (auto& [number, chunk] : parts.chunks) {
-    whole.value += chunk;
+    value_read.value += chunk;
   }
   parts_.erase(name);
-  return whole;
+  return value_read;
 }
 
-std::optional<std::string> JobLedger::take_job_record(const KeyedRecord& record) {
+std::optional<std::string> JobLedger::apply_job_record(const KeyedRecord& record) {
   if (record.key.empty()) {
     return std::nullopt;
   }
   if (record.value.empty()) {
-    forget(record.key);
+    remove_job(record.key);
     return std::nullopt;
   }
   if (record.key.front() == kEndPrefix) {
@@ -208,11 +209,11 @@
     found->second.ended = true;
     return id;
   }
-  const auto whole = assembler_.add(record);
-  if (!whole || whole->name.front() != kJobPrefix) {
+  const auto value_read = assembler_.add(record);
+  if (!value_read || value_read->name.front() != kJobPrefix) {
     return std::nullopt;
   }
-  auto wire = unpack<JobWire>(whole->value);
+  auto wire = unpack<JobWire>(value_read->value);
   if (!wire || jobs_.contains(wire->id)) {
     return std::nullopt;
   }
@@ -230,31 +231,31 @@
   return id;
 }
 
-void JobLedger::forget(const std::string& key) {
+void JobLedger::remove_job(const std::string& key) {
   const std::string id = key.substr(1, key.find(kSeparator) - 1);
   ended_.erase(id);
   jobs_.erase(id);
 }
 
 void JobLedger::load_results(std::vector<KeyedRecord> records) {
-  std::vector<ChunkAssembler::Whole> results;
+  std::vector<ChunkAssembler::Value> results;
   ChunkAssembler assembler;
   for (const KeyedRecord& record : records) {
     if (!record.key.starts_with(kResultPrefix)) {
       continue;
     }
-    if (auto whole = assembler.add(record)) {
-      results.push_back(std::move(*whole));
+    if (auto value_read = assembler.add(record)) {
+      results.push_back(std::move(*value_read));
     }
   }
   load_checkpoints(records);
   std::sort(results.begin(), results.end(),
             [](const auto& one, const auto& other) { return one.offset < other.offset; });
-  for (const ChunkAssembler::Whole& whole : results) {
-    const std::size_t slash = whole.name.rfind(kSeparator);
-    auto wire = unpack<ResultWire>(whole.value);
+  for (const ChunkAssembler::Value& value_read : results) {
+    const std::size_t slash = value_read.name.rfind(kSeparator);
+    auto wire = unpack<ResultWire>(value_read.value);
     if (slash != std::string::npos && wire) {
-      add_result(whole.name.substr(1, slash - 1),
+      add_result(value_read.name.substr(1, slash - 1),
                  {wire->item, wire->succeeded, std::move(wire->text)});
     }
   }
--- a/src/batch/partition_owner.cpp
+++ b/src/batch/partition_owner.cpp
@@ -77,7 +77,7 @@
 
 void PartitionOwner::load_results() {
   calling_ = true;
-  log_.newest({topics_.results, partition_}, page_key_,
+  log_.newest({topics_.results, partition_}, last_page_key_,
               [this, life = life_](NewestOutcome outcome) {
                 if (!life->alive) {
                   return;
@@ -89,7 +89,7 @@
                 }
                 failures_ = 0;
                 if (!outcome.records.empty()) {
-                  page_key_ = outcome.records.back().key;
+                  last_page_key_ = outcome.records.back().key;
                 }
                 std::move(outcome.records.begin(), outcome.records.end(),
                           std::back_inserter(loaded_results_));
@@ -106,16 +106,16 @@
 
 void PartitionOwner::on_snapshot(const std::vector<KeyedRecord>& records) {
   for (const KeyedRecord& record : records) {
-    take_job_record(record);
+    apply_job_record(record);
   }
 }
 
 void PartitionOwner::on_record(const KeyedRecord& record) {
-  take_job_record(record);
+  apply_job_record(record);
 }
 
-void PartitionOwner::take_job_record(const KeyedRecord& record) {
-  const auto job = ledger_.take_job_record(record);
+void PartitionOwner::apply_job_record(const KeyedRecord& record) {
+  const auto job = ledger_.apply_job_record(record);
   if (!job || step_ != Step::kActive) {
     return;
   }
@@ -182,7 +182,7 @@
          std::any_of(writing_.begin(), writing_.end(), matches);
 }
 
-void PartitionOwner::take_from_queue() {
+void PartitionOwner::fill_append() {
   std::size_t bytes = 0;
   while (!queue_.empty()) {
     std::size_t size = 0;
@@ -205,24 +205,24 @@
   // Under one sequence number the log does the first append that it gets, and gives its answer to
   // all others: an empty one must be repeated empty, or results would be confirmed and never
   // written.
-  if (!append_open_) {
-    take_from_queue();
+  if (!append_unconfirmed_) {
+    fill_append();
   }
   if (writing_.empty() && !unverified_) {
     return;
   }
-  append_open_ = true;
+  append_unconfirmed_ = true;
   calling_ = true;
   log_.append({topics_.results, partition_}, write_records_, position(),
               [this, life = life_](const AppendOutcome& outcome) {
                 if (life->alive) {
                   calling_ = false;
-                  take_append(outcome);
+                  handle_append(outcome);
                 }
               });
 }
 
-void PartitionOwner::take_append(const AppendOutcome& outcome) {
+void PartitionOwner::handle_append(const AppendOutcome& outcome) {
   if (outcome.status == LogStatus::kFenced) {
     become_fenced();
     return;
@@ -236,7 +236,7 @@
   }
   failures_ = 0;
   ++sequence_;
-  append_open_ = false;
+  append_unconfirmed_ = false;
   unverified_ = false;
   write_records_.clear();
   const std::vector<PendingWrite> written = std::move(writing_);
@@ -265,8 +265,8 @@
   const int doublings = std::min(failures_ - 1, 4);
   const Duration limit =
       std::min(knobs_.log_retry_delay * (1 << doublings), knobs_.log_retry_delay_limit);
-  std::uniform_int_distribution<std::int64_t> spread(limit.count() / 2, limit.count());
-  retry_at_ = now_ + Duration(spread(random_));
+  std::uniform_int_distribution<std::int64_t> jitter(limit.count() / 2, limit.count());
+  retry_at_ = now_ + Duration(jitter(random_));
 }
 
 void PartitionOwner::become_fenced() {
--- a/src/batch/partition_state.cpp
+++ b/src/batch/partition_state.cpp
@@ -49,7 +49,7 @@
 
 RecordVerdict PartitionState::apply(Offset offset, const PartitionRecord& record) {
   next_offset_ = offset + 1;
-  return std::visit([&](const auto& body) { return take(offset, body); }, record.body);
+  return std::visit([&](const auto& body) { return apply_body(offset, body); }, record.body);
 }
 
 const JobState* PartitionState::find_job(const std::string& id) const {
@@ -57,7 +57,7 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-RecordVerdict PartitionState::take(Offset, const OwnershipClaim& claim) {
+RecordVerdict PartitionState::apply_body(Offset, const OwnershipClaim& claim) {
   const bool replaces_current = claim.replaces == epoch_ && claim.epoch == epoch_ + 1;
   if (mechanisms_.ownership_epochs && !replaces_current) {
     return RecordVerdict::kStaleEpoch;
@@ -68,7 +68,7 @@
   return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const OwnershipRelease& release) {
+RecordVerdict PartitionState::apply_body(Offset, const OwnershipRelease& release) {
   if (stale(release.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
@@ -77,7 +77,7 @@
   return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const JobAccepted& accepted) {
+RecordVerdict PartitionState::apply_body(Offset, const JobAccepted& accepted) {
   if (stale(accepted.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
@@ -96,7 +96,7 @@
   return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const JobCancelled& cancelled) {
+RecordVerdict PartitionState::apply_body(Offset, const JobCancelled& cancelled) {
   const auto found = jobs_.find(cancelled.job);
   if (found == jobs_.end()) {
     return RecordVerdict::kUnknownJob;
@@ -111,7 +111,7 @@
   return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const ItemAttempt& attempt) {
+RecordVerdict PartitionState::apply_body(Offset, const ItemAttempt& attempt) {
   if (stale(attempt.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
@@ -127,7 +127,7 @@
   return first ? RecordVerdict::kApplied : RecordVerdict::kRepeated;
 }
 
-RecordVerdict PartitionState::take(Offset offset, const ItemCompleted& completed) {
+RecordVerdict PartitionState::apply_body(Offset offset, const ItemCompleted& completed) {
   const auto found = jobs_.find(completed.job);
   if (found == jobs_.end() || completed.item >= found->second.spec.items) {
     return RecordVerdict::kUnknownJob;
@@ -156,7 +156,7 @@
   return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const OnlineAttempt& attempt) {
+RecordVerdict PartitionState::apply_body(Offset, const OnlineAttempt& attempt) {
   if (stale(attempt.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
@@ -164,7 +164,7 @@
                                                                      : RecordVerdict::kRepeated;
 }
 
-RecordVerdict PartitionState::take(Offset, const OnlineAttemptWithdrawn& withdrawn) {
+RecordVerdict PartitionState::apply_body(Offset, const OnlineAttemptWithdrawn& withdrawn) {
   const auto found = online_attempts_.find(withdrawn.key);
   if (found == online_attempts_.end() || found->second != withdrawn.token) {
     return RecordVerdict::kRepeated;
--- a/src/batch/reservation_table.cpp
+++ b/src/batch/reservation_table.cpp
@@ -42,7 +42,7 @@
   tokens_by_tenant_.clear();
 }
 
-double ReservationTable::take(const KeyedRecord& record) {
+double ReservationTable::apply(const KeyedRecord& record) {
   const std::string prefix = key_prefix(route_);
   if (!record.key.starts_with(prefix)) {
     return 0;
--- a/src/batch/token_quota.cpp
+++ b/src/batch/token_quota.cpp
@@ -12,10 +12,10 @@
 constexpr double kAllottedShare = 0.5;
 
 /// A node that has just started does not know how many others there are.
-constexpr Duration kFleetUnknown = std::chrono::seconds(3);
+constexpr Duration kFleetDiscoveryTime = std::chrono::seconds(3);
 
 /// Most corrections in one append.
-constexpr std::size_t kMostCorrections = 200;
+constexpr std::size_t kMaxCorrections = 200;
 
 }  // namespace
 
@@ -36,16 +36,16 @@
 void TokenQuota::on_snapshot(const std::vector<KeyedRecord>& records) {
   table_.clear();
   for (const KeyedRecord& record : records) {
-    table_.take(record);
+    table_.apply(record);
   }
   for (const auto& [job, reservation] : table_.all()) {
-    note_job_size(reservation.tokens);
+    record_job_size(reservation.tokens);
   }
 }
 
 void TokenQuota::on_record(const KeyedRecord& record) {
   const auto held = table_.find_record(record);
-  const double released = table_.take(record);
+  const double released = table_.apply(record);
   if (held && released > 0) {
     released_.try_emplace(held->tenant, knobs_.quota_release_memory)
         .first->second.add(now_, released);
@@ -65,16 +65,16 @@
 
 void TokenQuota::on_reachable(bool /*reachable*/, Duration /*silence*/) {}
 
-void TokenQuota::note_job_size(double tokens) {
+void TokenQuota::record_job_size(double tokens) {
   largest_job_ = std::max(largest_job_, tokens);
 }
 
-bool TokenQuota::wide() const {
+bool TokenQuota::allotments_enabled() const {
   return kAllottedShare * route_.limit / static_cast<double>(route_.nodes) >= largest_job_;
 }
 
 double TokenQuota::usable_limit(const std::string& tenant) const {
-  if (!wide()) {
+  if (!allotments_enabled()) {
     return route_.limit;
   }
   // Allotments were given at most so long ago, and their jobs are accepted or given up by now.
@@ -88,8 +88,8 @@
 void TokenQuota::renew_allotments() {
   allotted_tokens_.clear();
   allotments_until_ = {};
-  const bool fleet_known = now_ - started_ >= kFleetUnknown;
-  if (!fleet_known || !wide()) {
+  const bool fleet_known = now_ - started_ >= kFleetDiscoveryTime;
+  if (!fleet_known || !allotments_enabled()) {
     return;
   }
   for (const Pending& pending : allotted_) {
@@ -100,7 +100,7 @@
 }
 
 double TokenQuota::allotment(const std::string& tenant) const {
-  if (now_ >= allotments_until_ || !wide() ||
+  if (now_ >= allotments_until_ || !allotments_enabled() ||
       table_.tokens(tenant) >= kAllottedShare * route_.limit) {
     return 0;
   }
@@ -109,7 +109,7 @@
          (taken == allotted_tokens_.end() ? 0 : taken->second);
 }
 
-bool TokenQuota::recent(const TokenReservation& reservation) const {
+bool TokenQuota::is_recent(const TokenReservation& reservation) const {
   return now_ms_ - reservation.reserved_ms < to_ms(knobs_.quota_recent);
 }
 
@@ -125,7 +125,7 @@
 }
 
 QuotaStart TokenQuota::reserve(QuotaRequest request, Done done) {
-  note_job_size(request.tokens);
+  record_job_size(request.tokens);
   const bool covered = request.tokens <= allotment(request.tenant) && !table_.find(request.job);
   if (covered) {
     allotted_tokens_[request.tenant] += request.tokens;
@@ -157,7 +157,7 @@
     const double limit = usable_limit(tenant);
     const double tokens = table_.tokens(tenant) + taken_tokens[tenant];
     const auto held = table_.find(pending.request.job);
-    if (held && recent(*held)) {
+    if (held && is_recent(*held)) {
       known.push_back(std::move(pending));
     } else if (held || tokens + pending.request.tokens <= limit) {
       taken_tokens[tenant] += held ? 0 : pending.request.tokens;
@@ -274,17 +274,17 @@
 
 void TokenQuota::expire() {
   const auto in_time = [&](const Pending& pending) { return now_ < pending.request.deadline; };
-  PendingList late;
-  const auto take_late = [&](PendingList& list) {
+  PendingList expired;
+  const auto move_expired = [&](PendingList& list) {
     const auto first = std::stable_partition(list.begin(), list.end(), in_time);
-    std::move(first, list.end(), std::back_inserter(late));
+    std::move(first, list.end(), std::back_inserter(expired));
     list.erase(first, list.end());
   };
-  take_late(waiting_);
+  move_expired(waiting_);
   if (!writing_) {
-    take_late(allotted_);
+    move_expired(allotted_);
   }
-  answer(std::move(late), QuotaVerdict::kUnavailable);
+  answer(std::move(expired), QuotaVerdict::kUnavailable);
 }
 
 Duration TokenQuota::audit_interval() const {
@@ -333,7 +333,7 @@
           reservation_record(route_name_, open.id, {open.waiting_tokens, now_ms_, open.tenant}));
     }
   }
-  records.resize(std::min(records.size(), kMostCorrections));
+  records.resize(std::min(records.size(), kMaxCorrections));
   return records;
 }
 
@@ -343,9 +343,9 @@
     const auto state = jobs_.find(job);
     const std::int64_t age = now_ms_ - held.reserved_ms;
     const bool orphan = state && !state->known && age > to_ms(knobs_.quota_orphan_age);
-    const bool forgotten =
+    const bool finished_long_ago =
         state && state->known && held.tokens <= 0 && age > to_ms(knobs_.quota_finished_age);
-    if ((orphan || forgotten) && records.size() < kMostCorrections) {
+    if ((orphan || finished_long_ago) && records.size() < kMaxCorrections) {
       records.push_back(reservation_removal(route_name_, job));
     }
   }
--- a/tests/batch/job_ledger_test.cpp
+++ b/tests/batch/job_ledger_test.cpp
@@ -39,16 +39,16 @@
   JobLedger ledger;
   for (std::size_t index = 0; index + 1 < records.size(); ++index) {
     BOOST_TEST(records[index].key.size() + records[index].value.size() <= kRecordBytes);
-    BOOST_TEST(!ledger.take_job_record(records[index]).has_value());
+    BOOST_TEST(!ledger.apply_job_record(records[index]).has_value());
   }
-  BOOST_TEST((ledger.take_job_record(records.back()) == "j1"));
+  BOOST_TEST((ledger.apply_job_record(records.back()) == "j1"));
   const BatchJob& read = ledger.find("j1")->job;
   BOOST_TEST(read.items.size() == 3U);
   BOOST_TEST(read.items[2].body == std::string(3'000, 'c'));
   BOOST_TEST(read.items[2].headers[0].second == "m");
   // The same job again is no news.
   for (const KeyedRecord& record : records) {
-    BOOST_TEST(!ledger.take_job_record(record).has_value());
+    BOOST_TEST(!ledger.apply_job_record(record).has_value());
   }
 }
 
@@ -67,7 +67,7 @@
   JobLedger ledger;
   ledger.load_results(records);
   for (const KeyedRecord& record : job_records(job("j1", 3, 10), kRecordBytes)) {
-    ledger.take_job_record(record);
+    ledger.apply_job_record(record);
   }
   const LedgerJob* loaded = ledger.find("j1");
   BOOST_TEST_REQUIRE(loaded->results.size() == 3U);
@@ -82,14 +82,14 @@
 BOOST_AUTO_TEST_CASE(an_end_counts_whether_it_is_read_before_or_after_its_job) {
   const std::vector<KeyedRecord> records = job_records(job("j1", 1, 10), kRecordBytes);
   JobLedger before;
-  before.take_job_record(end_record("j1"));
-  before.take_job_record(records.front());
+  before.apply_job_record(end_record("j1"));
+  before.apply_job_record(records.front());
   BOOST_TEST(before.find("j1")->ended);
   JobLedger after;
-  after.take_job_record(records.front());
-  BOOST_TEST((after.take_job_record(end_record("j1")) == "j1"));
+  after.apply_job_record(records.front());
+  BOOST_TEST((after.apply_job_record(end_record("j1")) == "j1"));
   BOOST_TEST(after.find("j1")->ended);
-  after.take_job_record({records.front().key, "", 9});
+  after.apply_job_record({records.front().key, "", 9});
   BOOST_TEST(after.find("j1") == nullptr);
 }
 
@@ -114,7 +114,7 @@
 BOOST_AUTO_TEST_CASE(foreign_bytes_are_skipped) {
   JobLedger ledger;
   for (const char* key : {"", "j", "j/", "r1/2/3", "p", "p/", "p/1", "pa/1/2", "zzz"}) {
-    BOOST_TEST(!ledger.take_job_record({key, "\x01\x02\x03\x04\x05", 1}).has_value());
+    BOOST_TEST(!ledger.apply_job_record({key, "\x01\x02\x03\x04\x05", 1}).has_value());
     ledger.load_results({{key, "\xc1", 1}});
   }
   BOOST_TEST(ledger.jobs().empty());
@@ -125,7 +125,7 @@
   submitted.tenant = "clinic";
   JobLedger ledger;
   for (const KeyedRecord& record : job_records(submitted, kRecordBytes)) {
-    ledger.take_job_record(record);
+    ledger.apply_job_record(record);
   }
   BOOST_TEST_REQUIRE(ledger.find("j1") != nullptr);
   BOOST_TEST(ledger.find("j1")->job.tenant == "clinic");
@@ -138,7 +138,7 @@
   std::string value{'\0', '\0', '\0', '\1'};  // One piece.
   nlohmann::json::to_msgpack(wire, value);
   JobLedger ledger;
-  BOOST_TEST(ledger.take_job_record({"jj1/0", value, 0}).value_or("") == "j1");
+  BOOST_TEST(ledger.apply_job_record({"jj1/0", value, 0}).value_or("") == "j1");
   BOOST_TEST_REQUIRE(ledger.find("j1") != nullptr);
   BOOST_TEST(ledger.find("j1")->job.tenant.empty());
   BOOST_TEST(ledger.find("j1")->job.items.front().body == "body");
--- a/tests/batch/partition_ownership_test.cpp
+++ b/tests/batch/partition_ownership_test.cpp
@@ -195,12 +195,12 @@
   }
 
   /// @return a sentence about what is wrong, or nothing.
-  std::string play() {
+  std::string simulate() {
     constexpr std::int64_t kFaultsEndMs = 30'000;
     constexpr std::int64_t kEndMs = 50'000;
     for (now_ = 0; now_ < kEndMs && problem_.empty(); now_ += kStepMs) {
       if (now_ < kFaultsEndMs) {
-        disturb();
+        inject_faults();
       } else {
         log_.faults = {};
         for (auto& link : links_) {
@@ -218,7 +218,7 @@
           start(index);
         }
       }
-      read_everywhere();
+      check_all_nodes();
     }
     if (problem_.empty()) {
       check_end();
@@ -236,7 +236,7 @@
 
   bool chance(int one_in) { return random_() % static_cast<std::uint64_t>(one_in) == 0; }
 
-  void disturb() {
+  void inject_faults() {
     const int node = static_cast<int>(random_() % kNodes);
     if (chance(60)) {
       submit();
@@ -280,7 +280,7 @@
   }
 
   /// What was once read at a position stays there at every node.
-  void read_everywhere() {
+  void check_all_nodes() {
     for (const auto& [id, items] : jobs_) {
       for (int index = 0; index < kNodes; ++index) {
         const LedgerJob* job = nodes_[index] ? nodes_[index]->read(id) : nullptr;
@@ -357,7 +357,7 @@
 BOOST_AUTO_TEST_CASE(positions_hold_and_accepted_items_end_once_under_every_failure) {
   constexpr std::uint64_t kSeeds = 300;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const std::string problem = World(seed).play();
+    const std::string problem = World(seed).simulate();
     BOOST_TEST(problem.empty(), "seed " << seed << ": " << problem);
   }
 }
--- a/tests/batch/reservation_table_test.cpp
+++ b/tests/batch/reservation_table_test.cpp
@@ -8,13 +8,13 @@
 
 BOOST_AUTO_TEST_CASE(it_sums_the_newest_reservation_of_each_job) {
   ReservationTable table("route");
-  BOOST_TEST(table.take(reservation_record("route", "a", {100, 1'000})) == 0);
-  BOOST_TEST(table.take(reservation_record("route", "b", {50, 2'000})) == 0);
+  BOOST_TEST(table.apply(reservation_record("route", "a", {100, 1'000})) == 0);
+  BOOST_TEST(table.apply(reservation_record("route", "b", {50, 2'000})) == 0);
   BOOST_TEST(table.tokens({}) == 150);
-  BOOST_TEST(table.take(reservation_record("route", "a", {30, 1'000})) == 70);
+  BOOST_TEST(table.apply(reservation_record("route", "a", {30, 1'000})) == 70);
   BOOST_TEST(table.tokens({}) == 80);
   BOOST_TEST(table.tokens_reserved_before({}, 1'500) == 30);
-  BOOST_TEST(table.take(reservation_removal("route", "b")) == 50);
+  BOOST_TEST(table.apply(reservation_removal("route", "b")) == 50);
   BOOST_TEST(table.tokens({}) == 30);
   BOOST_TEST(!table.find("b").has_value());
   BOOST_TEST(table.find("a")->tokens == 30);
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_CASE(routes_that_share_a_partition_are_told_apart) {
   ReservationTable table("one");
-  table.take(reservation_record("other", "a", {100, 0}));
+  table.apply(reservation_record("other", "a", {100, 0}));
   BOOST_TEST(table.tokens({}) == 0);
 }
 
@@ -30,8 +30,8 @@
   ReservationTable table("route");
   KeyedRecord record = reservation_record("route", "a", {100, 0});
   record.value = "no reservation";
-  table.take(record);
-  table.take({"", "", 0});
+  table.apply(record);
+  table.apply({"", "", 0});
   BOOST_TEST(table.all().empty());
 }
 
--- a/tests/batch/token_quota_test.cpp
+++ b/tests/batch/token_quota_test.cpp
@@ -68,12 +68,12 @@
   }
 
   /// @return a sentence about what is wrong, or nothing.
-  std::string play() {
+  std::string simulate() {
     constexpr std::int64_t kFaultsEndMs = 30'000;
     constexpr std::int64_t kEndMs = 60'000;
     for (now_ = 0; now_ < kEndMs && problem_.empty(); now_ += kStepMs) {
       if (now_ < kFaultsEndMs) {
-        disturb();
+        inject_faults();
       } else {
         log_.faults = {};
       }
@@ -112,7 +112,7 @@
 
   bool chance(int one_in) { return random_() % static_cast<std::uint64_t>(one_in) == 0; }
 
-  void disturb() {
+  void inject_faults() {
     const int node = static_cast<int>(random_() % kNodes);
     if (chance(500)) {
       start(node);
@@ -265,7 +265,7 @@
     const double limit =
         seed % 2 == 0 ? 60 : 400;  // Narrow, and so wide that nodes have allotments.
     World world(seed, limit);
-    const std::string problem = world.play();
+    const std::string problem = world.simulate();
     BOOST_TEST(problem.empty(), "seed " << seed << ": " << problem);
     accepted += world.accepted();
   }
