--- a/include/dockpoint/batch/partition_owner.hpp
+++ b/include/dockpoint/batch/partition_owner.hpp
@@ -12,41 +12,42 @@
 #include "dockpoint/core/life.hpp"
 #include "dockpoint/log/keyed_watch.hpp"
 
-/// One partition of batch jobs at the node that owns it.
+/// One partition of batch jobs at its owning node.
 ///
-/// Recovery: the new owner first raises the epoch of the topic of results, which fences whoever
-/// owned the partition before, so that nothing is added behind its back. Then it loads jobs and
-/// results and follows the topic of jobs. From there on it alone writes results; each append
-/// carries epoch and sequence, so that one whose answer was lost is repeated without harm, with the
-/// very same records: the log may have done it and would confirm others unwritten. An owner that
-/// was paused and replaced learns it from its next append, or from its group.
+/// Recovery: the new owner first raises the epoch of the topic of results. This fences the previous
+/// owner, which can no longer append results. The new owner then loads jobs and results and follows
+/// the topic of jobs. From then on it is the only writer of results. Each append carries epoch and
+/// sequence number, so it can be retried safely if its answer was lost. A retry must send exactly
+/// the same records: the log may already have performed the append, and would confirm different
+/// records without writing them. An owner that was paused and replaced learns of it from its next
+/// append or from its group.
 namespace dockpoint {
 
-/// Names of the topics and of the group that deals their partitions out.
+/// Names of the topics and of the group that assigns their partitions.
 struct BatchTopics {
   std::string jobs;
   std::string results;
-  std::string reservations;  ///< Of the limits on waiting tokens.
+  std::string reservations;  ///< Token reservations, see `TokenQuota`.
   std::string group;
 };
 
-/// Receives what happens in a partition.
+/// Receives the events of a partition.
 class PartitionOwnerObserver {
  public:
   virtual ~PartitionOwnerObserver() = default;
   virtual void on_partition_active(int partition) = 0;
   virtual void on_job(int partition, const std::string& job) = 0;
   virtual void on_job_ended(int partition, const std::string& job) = 0;
-  /// Results were confirmed by the log and can be read.
+  /// The log confirmed results of the job; they can be read.
   virtual void on_results(int partition, const std::string& job) = 0;
-  /// Another owner has taken over. The partition does nothing more.
+  /// Another owner has taken over. This owner makes no further calls to the log.
   virtual void on_partition_fenced(int partition) = 0;
 };
 
 /// See the top of this file. Not thread-safe; borrows all references.
 class PartitionOwner : private KeyedWatchObserver {
  public:
-  /// @param epoch the generation in which the group dealt the partition to this node.
+  /// @param epoch the group generation in which the partition was assigned to this node.
   PartitionOwner(const Knobs& knobs, PartitionedLog& log, const BatchTopics& topics, int partition,
                  std::uint64_t epoch, std::uint64_t seed, PartitionOwnerObserver& observer);
   ~PartitionOwner() override;
@@ -54,34 +55,34 @@
   /// Drives calls to the log; call several times a second.
   void tick(TimePoint now);
 
-  /// Makes sure that no other owner has written: the partition is not active until the log has
-  /// taken an append under its epoch.
+  /// Verifies that no other owner has fenced this one: the partition is inactive until the log has
+  /// confirmed an append under its epoch.
   void verify();
 
-  /// Writes a result; it is listed once the log has confirmed it.
+  /// Writes a result. It appears in the ledger once the log has confirmed it.
   void write_result(const std::string& job, ItemResult result);
-  /// Writes what an unfinished item has added since its last checkpoint.
-  /// @param restart what earlier checkpoints say is void.
+  /// Writes the output of an unfinished item since its last checkpoint.
+  /// @param restart whether to discard all earlier checkpoints of the item.
   void write_checkpoint(const std::string& job, std::uint32_t item, const ItemCheckpoint& added,
                         bool restart);
 
-  /// @return whether jobs and results are loaded, so that reads can be answered.
+  /// @return whether jobs and results are loaded and the epoch is verified, so reads can be served.
   bool active() const { return step_ == Step::kActive && !unverified_; }
   bool fenced() const { return step_ == Step::kFenced; }
   const JobLedger& ledger() const { return ledger_; }
   int partition() const { return partition_; }
   std::uint64_t epoch() const { return epoch_; }
   std::size_t pending_writes() const { return queue_.size() + writing_.size(); }
-  /// @return whether a result of the item was handed in, confirmed or not.
+  /// @return whether a result of the item is queued or being written.
   bool has_pending_result(const std::string& job, std::uint32_t item) const;
 
  private:
   enum class Step { kFencing, kLoadingResults, kLoadingJobs, kActive, kFenced };
-  /// Records that go into the log together.
+  /// Records that are appended to the log together.
   struct PendingWrite {
     std::string job;
     std::vector<KeyedRecord> records;
-    std::optional<ItemResult> result;  ///< That the records hold, if they hold one.
+    std::optional<ItemResult> result;  ///< The result in the records, if any.
   };
 
   void on_snapshot(const std::vector<KeyedRecord>& records) override;
@@ -120,12 +121,11 @@
   std::vector<KeyedRecord> loaded_results_;
   std::uint64_t sequence_ = 0;
   bool unverified_ = false;
-  bool append_unconfirmed_ =
-      false;  ///< An append was sent under `sequence_` and has not been confirmed.
+  bool append_unconfirmed_ = false;  ///< An append with `sequence_` was sent and is unconfirmed.
   std::deque<PendingWrite> queue_;
   std::map<std::pair<std::string, std::uint32_t>, std::uint32_t>
-      checkpoint_steps_;               ///< Next numbers.
-  std::vector<PendingWrite> writing_;  ///< In the append under way or to be repeated.
+      checkpoint_steps_;               ///< Next step number, by job and item.
+  std::vector<PendingWrite> writing_;  ///< Writes in the current append, which may be a retry.
   std::vector<KeyedRecord> write_records_;
 };
 
--- a/src/batch/job_ledger.cpp
+++ b/src/batch/job_ledger.cpp
@@ -15,13 +15,13 @@
 constexpr char kCheckpointPrefix = 'p';
 constexpr char kSeparator = '/';
 
-/// Room that key and framing take in a record, in bytes.
+/// Space reserved for key and framing in a record, in bytes.
 constexpr std::size_t kRecordOverhead = 512;
 
 struct ItemWire {
   std::string id;
   std::string path;
-  std::vector<std::string> headers;  ///< Names and values in turn.
+  std::vector<std::string> headers;  ///< Alternating names and values.
   std::string body;
   double tokens = 0;
   DOCKPOINT_FIELDS(id, path, headers, body, tokens)
@@ -33,7 +33,7 @@
   std::string path;
   std::int64_t submitted_ms = 0;
   std::vector<ItemWire> items;
-  std::string tenant;  ///< Absent in records of versions without tenants.
+  std::string tenant;  ///< Missing in records written before tenants were introduced.
   DOCKPOINT_FIELDS(id, host, path, submitted_ms, items, tenant)
 };
 
@@ -58,7 +58,7 @@
          std::to_string(number);
 }
 
-/// Four bytes before each piece: how many pieces the value has.
+/// Prefixes a piece with the number of pieces of its value, as a 4-byte big-endian integer.
 std::string with_count(std::uint32_t count, std::string_view piece) {
   std::string value;
   for (int shift = 24; shift >= 0; shift -= 8) {
@@ -80,7 +80,7 @@
   return records;
 }
 
-/// @return the number at a place of a key.
+/// @return the decimal number that starts at position `start` of a key.
 std::uint32_t to_index(const std::string& key, std::size_t start) {
   std::uint32_t index = 0;
   std::from_chars(key.data() + start, key.data() + key.size(), index);
@@ -157,7 +157,7 @@
 }
 
 std::string tenant_job_id(const std::string& tenant, const std::string& id) {
-  // The hash has a fixed length, so that no id of one tenant begins like those of another.
+  // The hash has a fixed length, so ids of different tenants never share a prefix.
   return tenant.empty() ? id : hash128_hex(tenant) + id;
 }
 
--- a/src/batch/partition_controller.cpp
+++ b/src/batch/partition_controller.cpp
@@ -47,7 +47,7 @@
   for (std::size_t index = 0; index < records.size(); ++index) {
     const Offset offset = first + index;
     if (offset != state_->next_offset()) {
-      continue;  // Seen before, or a gap that the next read fills.
+      continue;  // Already applied, or behind a gap that the next read fills.
     }
     const std::optional<PartitionRecord> record = decode_partition_record(records[index]);
     if (!record) {
@@ -102,7 +102,7 @@
     }
     return;
   }
-  // A former run of this node is gone for certain; any other owner is gone if membership says so.
+  // A former process of this node is certainly dead; for any other owner membership decides.
   const bool own_former_run = state_->owner() == identity_.node;
   const bool ownerless = state_->owner().empty() || own_former_run || !view.owner_alive;
   if (!at_tail_ || !view.preferred || !ownerless) {
@@ -213,7 +213,7 @@
   if (!item) {
     return std::nullopt;
   }
-  // Given back by this owner, since it certainly did not run: the attempt on record still holds.
+  // Requeued by this owner because it certainly did not run: the recorded attempt is still valid.
   const auto attempt = state->attempts.find(*item);
   if (attempt != state->attempts.end() && attempt->second == state_->epoch()) {
     return make_dispatch(*state, *item, queue.attempts(*item) + 1);
@@ -243,7 +243,7 @@
   ItemQueue& queue = queue_of(outcome.job);
   const bool wanted = job->in_progress() && !job->has_result(outcome.item);
   if (!wanted) {
-    queue.finish(outcome.item);  // The fold would drop the result.
+    queue.finish(outcome.item);  // The fold would ignore the result.
     return;
   }
   const bool may_repeat = owned() && outcome.attempt < knobs_.maximum_item_attempts;
@@ -262,7 +262,7 @@
       break;
     case ItemEnd::kNotSent:
     case ItemEnd::kRefused:
-      // It certainly did not run, so this owner may send it again, under the same attempt record.
+      // The item certainly did not run, so this owner may resend it under the same attempt record.
       if (may_repeat) {
         queue.retry(outcome.item, outcome.attempt, now);
         return;
--- a/src/batch/partition_owner.cpp
+++ b/src/batch/partition_owner.cpp
@@ -6,7 +6,7 @@
 namespace dockpoint {
 namespace {
 
-/// All owners write as one producer, so that epochs order them.
+/// All owners share one producer name, so that a higher epoch fences the owners before it.
 constexpr const char* kProducer = "owner";
 
 }  // namespace
@@ -167,7 +167,7 @@
 void PartitionOwner::write_checkpoint(const std::string& job, std::uint32_t item,
                                       const ItemCheckpoint& added, bool restart) {
   if (added.text.size() > log_.limits().record_bytes / 2) {
-    return;  // Too long for a step; the item would run again from its last one.
+    return;  // Too large for one step; after a failover the item resumes from its previous step.
   }
   const CheckpointStep step{next_step(job, item)++, restart, added.text, added.last_event,
                             added.failures};
@@ -202,9 +202,9 @@
 }
 
 void PartitionOwner::write_queue() {
-  // Under one sequence number the log does the first append that it gets, and gives its answer to
-  // all others: an empty one must be repeated empty, or results would be confirmed and never
-  // written.
+  // The log performs only the first append that it receives with a sequence number, and returns the
+  // same answer to all later ones. A retry must therefore carry the same records: results added to
+  // the retry of an empty append would be confirmed but never written.
   if (!append_unconfirmed_) {
     fill_append();
   }
