--- a/include/dockpoint/batch/records.hpp
+++ b/include/dockpoint/batch/records.hpp
@@ -12,17 +12,17 @@
 
 #include "dockpoint/core/time.hpp"
 
-/// Records of a job partition's stream.
+/// Record types of a job partition's stream.
 namespace dockpoint {
 
-/// Number of an ownership of a partition; 0 before the first.
+/// Ownership epoch of a partition; 0 before the first claim.
 using Epoch = std::uint64_t;
 using Offset = std::uint64_t;
 using ItemIndex = std::uint32_t;
 
-/// Identity of a record, the same for an append that is repeated.
+/// Identity of a record. A retried append keeps it.
 struct RecordId {
-  std::uint64_t writer = 0;  ///< Unique for each run of each node.
+  std::uint64_t writer = 0;  ///< Unique per node process.
   std::uint64_t number = 0;
   DOCKPOINT_FIELDS(writer, number)
   friend bool operator==(const RecordId&, const RecordId&) = default;
@@ -31,55 +31,56 @@
   }
 };
 
-/// A batch job as it was accepted.
+/// An accepted batch job.
 struct JobSpec {
   std::string id;
   std::string tenant;
   std::string input_file_id;
-  std::string endpoint;  ///< Path that every item is meant for, such as `/v1/chat/completions`.
+  std::string endpoint;  ///< Request path of all items, for example `/v1/chat/completions`.
   std::string completion_window;
-  std::string service;  ///< The `model` that the items name.
+  std::string service;  ///< The `model` field of the items.
   ItemIndex items = 0;
-  bool repeatable = true;  ///< Whether an item may run again when its end is unknown.
-  int priority = 0;        ///< 0 to 100, among batch jobs only.
-  std::string selector;    ///< JSON of a further selector over labels, or empty.
+  bool repeatable = true;  ///< Whether an item may run again if its outcome is unknown.
+  int priority = 0;        ///< 0 to 100, relative to other batch jobs.
+  std::string selector;    ///< Additional label selector as JSON, or empty.
   UnixSeconds created_at = 0;
   UnixSeconds deadline = 0;
-  std::string content_digest;  ///< Tells a resent job from a different one under the same key.
+  std::string content_digest;  ///< Distinguishes a resent job from another job with the same key.
   std::map<std::string, std::string> metadata;
   DOCKPOINT_FIELDS(id, tenant, input_file_id, endpoint, completion_window, service, items,
                    repeatable, priority, selector, created_at, deadline, content_digest, metadata)
 };
 
-/// A node takes the partition over. Counts only if `replaces` is still the current epoch.
+/// A node claims the partition. Applied only if `replaces` is still the current epoch.
 struct OwnershipClaim {
   Epoch epoch = 0;
   Epoch replaces = 0;
   std::string owner;      ///< Node id.
-  std::uint64_t run = 0;  ///< Tells a restarted node from its former self.
+  std::uint64_t run = 0;  ///< Distinguishes a restarted node from its previous process.
   DOCKPOINT_FIELDS(epoch, replaces, owner, run)
 };
 
-/// The owner gives the partition up.
+/// The owner releases the partition.
 struct OwnershipRelease {
   Epoch epoch = 0;
   DOCKPOINT_FIELDS(epoch)
 };
 
+/// The owner accepts a job.
 struct JobAccepted {
   Epoch epoch = 0;
   JobSpec job;
   DOCKPOINT_FIELDS(epoch, job)
 };
 
-/// Taken from any epoch: a cancel is the caller's wish, not the owner's decision.
+/// Cancels a job. Applied in any epoch, because the client requests it, not the owner.
 struct JobCancelled {
   std::string job;
   UnixSeconds at = 0;
   DOCKPOINT_FIELDS(job, at)
 };
 
-/// Precedes the sending of an item that must not be repeated.
+/// Written before a non-repeatable item is sent.
 struct ItemAttempt {
   Epoch epoch = 0;
   std::string job;
@@ -87,35 +88,35 @@
   DOCKPOINT_FIELDS(epoch, job, item)
 };
 
-/// The end of an item. Taken from any epoch; the first in offset order is the result.
+/// The outcome of an item. Applied in any epoch; the first one in offset order is the result.
 struct ItemCompleted {
   std::string job;
   ItemIndex item = 0;
   std::string custom_id;
-  int status = 0;       ///< HTTP status of the engine's answer; 0 if there is none.
+  int status = 0;       ///< HTTP status of the engine's answer; 0 without an answer.
   int result_code = 0;  ///< `ResultCode`; 0 if the engine answered.
-  std::string body;     ///< The engine's answer or the error, JSON.
+  std::string body;     ///< The engine's answer or the error, as JSON.
   UnixSeconds at = 0;
   DOCKPOINT_FIELDS(job, item, custom_id, status, result_code, body, at)
 };
 
-/// Precedes the sending of an online request that must not be repeated and carries a key.
+/// Written before a non-repeatable online request with an idempotency key is sent.
 struct OnlineAttempt {
   Epoch epoch = 0;
   std::string key;    ///< Hash of tenant and idempotency key.
-  std::string token;  ///< Unique to the request that wants to be sent.
+  std::string token;  ///< Unique per request.
   DOCKPOINT_FIELDS(epoch, key, token)
 };
 
-/// The request of an online attempt certainly did not run; its key may be used again. Counts only
-/// for the very request that holds the key, so it is taken from any epoch.
+/// The request of an online attempt certainly did not run, so its key may be used again. Applied
+/// only if `token` is that of the request holding the key, and therefore in any epoch.
 struct OnlineAttemptWithdrawn {
   std::string key;
   std::string token;
   DOCKPOINT_FIELDS(key, token)
 };
 
-/// Names one request among those that come under one idempotency key.
+/// Identifies one of the requests that share an idempotency key.
 struct AttemptTicket {
   std::string key;
   std::string token;
@@ -130,11 +131,11 @@
   RecordBody body;
 };
 
-/// @return the bytes of the record, its format version included.
+/// @return the serialized record, including its format version.
 std::string encode(const PartitionRecord& record);
 
-/// @return the record, or nothing for malformed bytes and types of a later version. Folds skip
-/// such records, all nodes alike.
+/// @return the record, or nothing for malformed bytes and unknown record types of a later version.
+/// All nodes skip such records when folding.
 std::optional<PartitionRecord> decode_partition_record(std::string_view bytes);
 
 }  // namespace dockpoint
--- a/include/dockpoint/batch/reservation_table.hpp
+++ b/include/dockpoint/batch/reservation_table.hpp
@@ -7,44 +7,44 @@
 
 #include "dockpoint/log/partitioned_log.hpp"
 
-/// Which jobs hold how much of the limit on waiting tokens that each tenant has on a route, as the
-/// log has it.
+/// Token reservations of batch jobs against each tenant's limit of waiting tokens on a route, as
+/// recorded in the log.
 namespace dockpoint {
 
-/// What one job holds.
+/// The reservation of one job.
 struct TokenReservation {
-  double tokens = 0;             ///< Of items that are not finished; 0 once all are.
-  std::int64_t reserved_ms = 0;  ///< Unix time of the last submission that relied on it.
-  std::string tenant{};          ///< Whose limit it counts against; empty without tenants.
+  double tokens = 0;             ///< Tokens of unfinished items; 0 once all are finished.
+  std::int64_t reserved_ms = 0;  ///< Unix time of the last submission that used it.
+  std::string tenant{};          ///< Tenant whose limit it counts against; empty without tenants.
   friend bool operator==(const TokenReservation&, const TokenReservation&) = default;
 };
 
-/// @return the record of a job's reservation.
+/// @return the record that stores a job's reservation.
 KeyedRecord reservation_record(const std::string& route, const std::string& job,
                                const TokenReservation& reservation);
-/// @return a record that removes a job's reservation.
+/// @return a tombstone that removes a job's reservation.
 KeyedRecord reservation_removal(const std::string& route, const std::string& job);
 
-/// The reservations of one route: a fold of records, free of I/O. Not thread-safe.
+/// Fold of one route's reservation records. Performs no I/O. Not thread-safe.
 class ReservationTable {
  public:
   explicit ReservationTable(std::string route) : route_(std::move(route)) {}
 
   void clear();
-  /// Takes a record; those of other routes are ignored.
-  /// @return tokens by which the job's reservation has shrunk.
+  /// Applies a record; records of other routes are ignored.
+  /// @return the number of tokens by which the job's reservation shrank.
   double apply(const KeyedRecord& record);
 
-  /// @return the reservation that a record is about, as it stands before the record is taken.
+  /// @return the current reservation of the job that a record refers to, or nothing.
   std::optional<TokenReservation> find_record(const KeyedRecord& record) const;
   /// @return the reservation of a job, or nothing.
   std::optional<TokenReservation> find(const std::string& job) const;
   const std::map<std::string, TokenReservation>& all() const { return by_job_; }
-  /// @return tokens of all reservations of a tenant.
+  /// @return the sum of a tenant's reservations, in tokens.
   double tokens(const std::string& tenant) const;
-  /// @return tokens of the tenant that has most.
+  /// @return the largest sum of reservations of any tenant, in tokens.
   double most_tokens() const;
-  /// @return tokens of a tenant's reservations made before a time.
+  /// @return the sum of a tenant's reservations with `reserved_ms` before `unix_ms`, in tokens.
   double tokens_reserved_before(const std::string& tenant, std::int64_t unix_ms) const;
 
  private:
@@ -54,7 +54,7 @@
 
   const std::string route_;
   std::map<std::string, TokenReservation> by_job_;
-  std::map<std::string, double> tokens_by_tenant_;  ///< Tenants without any are left out.
+  std::map<std::string, double> tokens_by_tenant_;  ///< Only tenants with a positive sum.
 };
 
 }  // namespace dockpoint
--- a/src/batch/partition_state.cpp
+++ b/src/batch/partition_state.cpp
@@ -15,7 +15,7 @@
   return completed.status >= 200 && completed.status < 300;
 }
 
-/// The persistent form of a state; fields are only ever appended.
+/// Serialized form of the state. New fields may only be appended.
 struct Snapshot {
   std::uint64_t epoch = 0;
   std::string owner;
--- a/src/batch/records.cpp
+++ b/src/batch/records.cpp
@@ -10,11 +10,11 @@
 
 constexpr std::uint8_t kRecordVersion = 1;
 
-/// The outer layer of a record: the body stays bytes until its type is known.
+/// Outer layer of a record. The body stays serialized until its type is known.
 struct Envelope {
   std::uint8_t version = kRecordVersion;
   RecordId id;
-  std::uint8_t type = 0;  ///< Position in `RecordBody`; types are only ever appended.
+  std::uint8_t type = 0;  ///< Index in `RecordBody`; new types may only be appended.
   std::string body;
   DOCKPOINT_FIELDS(version, id, type, body)
 };
--- a/src/batch/reservation_table.cpp
+++ b/src/batch/reservation_table.cpp
@@ -12,11 +12,12 @@
 struct ReservationWire {
   double tokens = 0;
   std::int64_t reserved_ms = 0;
-  std::string tenant;  ///< Absent in records of versions without tenants.
+  std::string tenant;  ///< Missing in records written before tenants were introduced.
   DOCKPOINT_FIELDS(tokens, reserved_ms, tenant)
 };
 
-/// Routes may share a partition: keys begin with the route's hash, which has a fixed length.
+/// @return the key prefix of a route. Routes may share a partition, so keys start with the route's
+/// hash, which has a fixed length.
 std::string key_prefix(const std::string& route) {
   constexpr std::size_t kHexDigits = 16;
   char digits[kHexDigits + 1];
--- a/src/batch/token_quota.cpp
+++ b/src/batch/token_quota.cpp
@@ -5,16 +5,18 @@
 namespace dockpoint {
 namespace {
 
-/// Pause after a call that failed.
+/// Delay before retrying after a failed call.
 constexpr Duration kRetryPause = std::chrono::milliseconds(120);
 
-/// Share of the limit below which nodes have allotments, which make up the rest.
+/// Share of the limit that is divided among the nodes as allotments. Nodes have allotments only
+/// while the reservations are below this share of the limit.
 constexpr double kAllottedShare = 0.5;
 
-/// A node that has just started does not know how many others there are.
+/// Time after the start during which the number of other nodes is not known yet, so that a node
+/// must not use an allotment.
 constexpr Duration kFleetDiscoveryTime = std::chrono::seconds(3);
 
-/// Most corrections in one append.
+/// Maximum number of corrections or removals per append.
 constexpr std::size_t kMaxCorrections = 200;
 
 }  // namespace
@@ -77,7 +79,8 @@
   if (!allotments_enabled()) {
     return route_.limit;
   }
-  // Allotments were given at most so long ago, and their jobs are accepted or given up by now.
+  // Jobs with older reservations are already accepted or abandoned, and no allotment that is still
+  // in use is older than this.
   const Duration oldest =
       knobs_.quota_allotment_time + knobs_.submission_wait + knobs_.clock_error / 2;
   const double old = table_.tokens_reserved_before(tenant, now_ms_ - to_ms(oldest));
@@ -94,7 +97,7 @@
   }
   for (const Pending& pending : allotted_) {
     allotted_tokens_[pending.request.tenant] +=
-        pending.request.tokens;  // Not seen in the topic yet.
+        pending.request.tokens;  // Not visible in the topic yet.
   }
   allotments_until_ = refreshed_ + knobs_.quota_allotment_time;
 }
@@ -147,7 +150,7 @@
   if (deciding_ || waiting_.empty() || now_ < retry_at_) {
     return;
   }
-  std::map<std::string, double> taken_tokens;  // By tenant, in this round.
+  std::map<std::string, double> taken_tokens;  // Tokens granted in this round, by tenant.
   PendingList known;
   PendingList taken;
   PendingList refused;
@@ -198,7 +201,7 @@
           answer(std::move(taken), QuotaVerdict::kReserved);
           return;
         }
-        // Another node was first, or the answer was lost: the topic tells.
+        // Another node appended first, or the answer was lost: read the topic to find out.
         std::move(taken.begin(), taken.end(), std::back_inserter(waiting_));
         if (outcome.status != LogStatus::kEndMoved) {
           retry_at_ = now_ + kRetryPause;
@@ -229,7 +232,7 @@
                   retry_at_ = now_ + kRetryPause;
                   return;
                 }
-                // Those that came meanwhile stand behind; none leaves the list while it is written.
+                // Requests added in the meantime are behind these; none is removed during a write.
                 const auto end = allotted_.begin() + static_cast<std::ptrdiff_t>(count);
                 PendingList written(std::make_move_iterator(allotted_.begin()),
                                     std::make_move_iterator(end));
@@ -299,9 +302,9 @@
   audit_due_ = false;
   const std::vector<KeyedRecord> differences = corrections();
   if (!differences.empty()) {
-    // Writing late what an owner knew is safe: waiting tokens only become fewer.
+    // A delayed correction is safe: a job's waiting tokens only decrease.
     log_.append(partition_, differences, std::nullopt, [](const AppendOutcome& /*outcome*/) {
-      // What was not written differs still when the next audit comes.
+      // If the append failed, the next audit finds the same differences.
     });
     return;
   }
