--- a/src/batch/reservation_table.cpp
+++ b/src/batch/reservation_table.cpp
@@ -62,9 +62,9 @@
 
 double ReservationTable::replace(const std::string& job,
                                  const std::optional<TokenReservation>& reservation) {
-  const auto held = find(job);
-  if (held) {
-    add_tokens(held->tenant, -held->tokens);
+  const auto existing = find(job);
+  if (existing) {
+    add_tokens(existing->tenant, -existing->tokens);
   }
   if (reservation) {
     add_tokens(reservation->tenant, reservation->tokens);
@@ -72,7 +72,7 @@
   } else {
     by_job_.erase(job);
   }
-  return std::max(0.0, (held ? held->tokens : 0) - (reservation ? reservation->tokens : 0));
+  return std::max(0.0, (existing ? existing->tokens : 0) - (reservation ? reservation->tokens : 0));
 }
 
 void ReservationTable::add_tokens(const std::string& tenant, double tokens) {
--- a/src/batch/token_quota.cpp
+++ b/src/batch/token_quota.cpp
@@ -46,10 +46,10 @@
 }
 
 void TokenQuota::on_record(const KeyedRecord& record) {
-  const auto held = table_.find_record(record);
+  const auto existing = table_.find_record(record);
   const double released = table_.apply(record);
-  if (held && released > 0) {
-    released_.try_emplace(held->tenant, knobs_.quota_release_memory)
+  if (existing && released > 0) {
+    released_.try_emplace(existing->tenant, knobs_.quota_release_memory)
         .first->second.add(now_, released);
   }
 }
@@ -79,8 +79,8 @@
   if (!allotments_enabled()) {
     return route_.limit;
   }
-  // Jobs with older reservations are already accepted or abandoned, and no allotment that is still
-  // in use is older than this.
+  // Every allotment still in effect was granted more recently than this, and the jobs of earlier
+  // allotments are accepted or abandoned by now.
   const Duration oldest =
       knobs_.quota_allotment_time + knobs_.submission_wait + knobs_.clock_error / 2;
   const double old = table_.tokens_reserved_before(tenant, now_ms_ - to_ms(oldest));
@@ -159,11 +159,11 @@
     const std::string& tenant = pending.request.tenant;
     const double limit = usable_limit(tenant);
     const double tokens = table_.tokens(tenant) + taken_tokens[tenant];
-    const auto held = table_.find(pending.request.job);
-    if (held && is_recent(*held)) {
+    const auto existing = table_.find(pending.request.job);
+    if (existing && is_recent(*existing)) {
       known.push_back(std::move(pending));
-    } else if (held || tokens + pending.request.tokens <= limit) {
-      taken_tokens[tenant] += held ? 0 : pending.request.tokens;
+    } else if (existing || tokens + pending.request.tokens <= limit) {
+      taken_tokens[tenant] += existing ? 0 : pending.request.tokens;
       taken.push_back(std::move(pending));
     } else {
       pauses.push_back(time_to_free(tenant, tokens + pending.request.tokens - limit));
@@ -184,8 +184,8 @@
   }
   std::vector<KeyedRecord> records;
   for (const Pending& pending : taken) {
-    const auto held = table_.find(pending.request.job);
-    const double tokens = held ? held->tokens : pending.request.tokens;
+    const auto existing = table_.find(pending.request.job);
+    const double tokens = existing ? existing->tokens : pending.request.tokens;
     records.push_back(reservation_record(route_name_, pending.request.job,
                                          {tokens, now_ms_, pending.request.tenant}));
   }
@@ -323,11 +323,11 @@
 
 std::vector<KeyedRecord> TokenQuota::corrections() const {
   std::vector<KeyedRecord> records;
-  for (const auto& [job, held] : table_.all()) {
+  for (const auto& [job, existing] : table_.all()) {
     const auto state = jobs_.find(job);
-    if (state && state->known && state->waiting_tokens != held.tokens) {
-      records.push_back(reservation_record(route_name_, job,
-                                           {state->waiting_tokens, held.reserved_ms, held.tenant}));
+    if (state && state->known && state->waiting_tokens != existing.tokens) {
+      records.push_back(reservation_record(
+          route_name_, job, {state->waiting_tokens, existing.reserved_ms, existing.tenant}));
     }
   }
   for (const OwnedJobs::OpenJob& open : jobs_.open_jobs(route_name_)) {
@@ -342,12 +342,12 @@
 
 std::vector<KeyedRecord> TokenQuota::removals() const {
   std::vector<KeyedRecord> records;
-  for (const auto& [job, held] : table_.all()) {
+  for (const auto& [job, existing] : table_.all()) {
     const auto state = jobs_.find(job);
-    const std::int64_t age = now_ms_ - held.reserved_ms;
+    const std::int64_t age = now_ms_ - existing.reserved_ms;
     const bool orphan = state && !state->known && age > to_ms(knobs_.quota_orphan_age);
     const bool finished_long_ago =
-        state && state->known && held.tokens <= 0 && age > to_ms(knobs_.quota_finished_age);
+        state && state->known && existing.tokens <= 0 && age > to_ms(knobs_.quota_finished_age);
     if ((orphan || finished_long_ago) && records.size() < kMaxCorrections) {
       records.push_back(reservation_removal(route_name_, job));
     }
--- a/tests/batch/due_time_test.cpp
+++ b/tests/batch/due_time_test.cpp
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(due_times)
 
-BOOST_AUTO_TEST_CASE(an_item_is_urgent_in_the_last_part_of_its_time_and_then_overdue) {
+BOOST_AUTO_TEST_CASE(an_item_becomes_urgent_before_its_due_time_and_overdue_after_it) {
   Knobs knobs;
   knobs.batch_urgent_time = 0.5;
   const DueTime due = due_time(100'000, 20s);
@@ -18,18 +18,18 @@
   BOOST_TEST(due.overdue(120'001));
 }
 
-BOOST_AUTO_TEST_CASE(an_item_is_given_up_only_when_its_retention_has_passed_by_every_clock) {
+BOOST_AUTO_TEST_CASE(retention_expires_only_when_it_has_passed_despite_clock_errors) {
   Knobs knobs;
   knobs.clock_error = 5s;
-  // The clock that stamped the job was 5 s behind, the one that looks now is 5 s ahead.
+  // The clock of the accepting node was 5 s slow, the clock of the checking node is 5 s fast.
   const std::int64_t submitted = 100'000;
-  const std::int64_t stamped = submitted - 5'000;
-  const std::int64_t shown_at_the_end = submitted + 60'000 + 5'000;
-  BOOST_TEST(!retention_expired(knobs, stamped, 60s, shown_at_the_end));
-  BOOST_TEST(retention_expired(knobs, stamped, 60s, shown_at_the_end + 1));
+  const std::int64_t submitted_by_slow_clock = submitted - 5'000;
+  const std::int64_t now_by_fast_clock = submitted + 60'000 + 5'000;
+  BOOST_TEST(!retention_expired(knobs, submitted_by_slow_clock, 60s, now_by_fast_clock));
+  BOOST_TEST(retention_expired(knobs, submitted_by_slow_clock, 60s, now_by_fast_clock + 1));
 }
 
-BOOST_AUTO_TEST_CASE(an_item_without_a_retention_is_never_given_up) {
+BOOST_AUTO_TEST_CASE(a_zero_retention_never_expires) {
   BOOST_TEST(!retention_expired(Knobs{}, 0, Duration{}, 1'000'000'000));
 }
 
--- a/tests/batch/group_member_test.cpp
+++ b/tests/batch/group_member_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A member of a group on a stand-in log, in simulated time.
+/// A group member on an in-memory log, in simulated time.
 struct Fixture : GroupMemberObserver {
   Knobs knobs;
   MemoryLog log{LogLimits{1, 4096, 65536, std::chrono::seconds(1)}, 1};
@@ -37,12 +37,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(group_membership, Fixture)
 
-// A partition went to another node and back while this one was cut off. It heard the newest
-// generation, doubted what it held, and was fenced by the other's epoch: it gave the partition up,
-// heard the same generation again, and nobody owned the partition any more:
-//   batch: partition fenced by a newer owner partition=1
-//   BROKEN LOST: job has 0 of 5 results, twelve jobs of that partition
-BOOST_AUTO_TEST_CASE(a_partition_that_is_still_dealt_to_a_fenced_member_is_acquired_again) {
+// Regression test: a partition moved to another node and back while this node was disconnected.
+// The node received the newest generation, verified its epoch and was fenced by the other node's
+// epoch. It dropped the partition, but the next join returned the same generation, so it did not
+// acquire the partition again. No node owned it, and twelve of its jobs never finished (0 of 5
+// results). The log showed "batch: partition fenced by a newer owner partition=1".
+BOOST_AUTO_TEST_CASE(a_fenced_member_reacquires_a_partition_still_assigned_to_it) {
   run(1'000);
   BOOST_TEST(acquired == 1);
   member.fenced(0);
@@ -51,7 +51,7 @@
   BOOST_TEST(acquired == 2);
 }
 
-BOOST_AUTO_TEST_CASE(the_lease_of_a_node_that_wakes_has_run_out_before_its_first_round) {
+BOOST_AUTO_TEST_CASE(the_lease_is_expired_when_a_paused_node_resumes) {
   run(1'000);
   BOOST_TEST(member.lease_valid(at(now)));
   now += 10'000;
--- a/tests/batch/job_ledger_test.cpp
+++ b/tests/batch/job_ledger_test.cpp
@@ -33,7 +33,7 @@
 
 BOOST_AUTO_TEST_SUITE(job_ledger)
 
-BOOST_AUTO_TEST_CASE(a_job_larger_than_a_record_counts_when_its_last_piece_is_there) {
+BOOST_AUTO_TEST_CASE(a_job_split_into_several_records_is_added_with_its_last_record) {
   const std::vector<KeyedRecord> records = job_records(job("j1", 3, 3'000), kRecordBytes);
   BOOST_TEST_REQUIRE(records.size() > 4U);
   JobLedger ledger;
@@ -46,13 +46,13 @@
   BOOST_TEST(read.items.size() == 3U);
   BOOST_TEST(read.items[2].body == std::string(3'000, 'c'));
   BOOST_TEST(read.items[2].headers[0].second == "m");
-  // The same job again is no news.
+  // A second copy of the same job is ignored.
   for (const KeyedRecord& record : records) {
     BOOST_TEST(!ledger.apply_job_record(record).has_value());
   }
 }
 
-BOOST_AUTO_TEST_CASE(positions_follow_the_order_of_the_log_whatever_the_order_of_loading) {
+BOOST_AUTO_TEST_CASE(result_positions_follow_log_offsets_regardless_of_loading_order) {
   std::vector<KeyedRecord> records;
   LogOffset offset = 0;
   for (const std::uint32_t item : {2U, 0U, 1U}) {
@@ -79,7 +79,7 @@
   BOOST_TEST(ledger.find("j1")->results.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(an_end_counts_whether_it_is_read_before_or_after_its_job) {
+BOOST_AUTO_TEST_CASE(an_end_record_is_applied_whether_read_before_or_after_its_job) {
   const std::vector<KeyedRecord> records = job_records(job("j1", 1, 10), kRecordBytes);
   JobLedger before;
   before.apply_job_record(end_record("j1"));
@@ -93,7 +93,7 @@
   BOOST_TEST(after.find("j1") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(checkpoint_steps_add_up_and_a_restart_voids_those_before) {
+BOOST_AUTO_TEST_CASE(checkpoint_steps_are_concatenated_and_a_restart_discards_earlier_ones) {
   JobLedger ledger;
   ledger.load_results({checkpoint_record("j1", 4, {1, false, "\nb", 2, 0}),
                        checkpoint_record("j1", 4, {0, false, "a", 1, 0}),
@@ -111,7 +111,7 @@
   BOOST_TEST(ledger.checkpoint("j1", 6) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(foreign_bytes_are_skipped) {
+BOOST_AUTO_TEST_CASE(malformed_records_are_skipped) {
   JobLedger ledger;
   for (const char* key : {"", "j", "j/", "r1/2/3", "p", "p/", "p/1", "pa/1/2", "zzz"}) {
     BOOST_TEST(!ledger.apply_job_record({key, "\x01\x02\x03\x04\x05", 1}).has_value());
@@ -120,7 +120,7 @@
   BOOST_TEST(ledger.jobs().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_job_keeps_its_tenant_through_the_log) {
+BOOST_AUTO_TEST_CASE(the_tenant_of_a_job_survives_serialization) {
   BatchJob submitted = job("j1", 2, 10);
   submitted.tenant = "clinic";
   JobLedger ledger;
@@ -131,11 +131,11 @@
   BOOST_TEST(ledger.find("j1")->job.tenant == "clinic");
 }
 
-// The record of a job as versions without tenants wrote it: five fields, the items last.
-BOOST_AUTO_TEST_CASE(a_record_of_a_version_without_tenants_is_read) {
+// Versions without tenants wrote job records with five fields, the items last.
+BOOST_AUTO_TEST_CASE(job_records_without_a_tenant_field_are_decoded) {
   const nlohmann::json item = {"i1", "/batch/1", {"Model", "m"}, "body", 12.0};
   const nlohmann::json wire = {"j1", "a.example", "/batch/", 1'000, {item}};
-  std::string value{'\0', '\0', '\0', '\1'};  // One piece.
+  std::string value{'\0', '\0', '\0', '\1'};  // A piece count of one.
   nlohmann::json::to_msgpack(wire, value);
   JobLedger ledger;
   BOOST_TEST(ledger.apply_job_record({"jj1/0", value, 0}).value_or("") == "j1");
@@ -147,7 +147,7 @@
 BOOST_AUTO_TEST_CASE(jobs_of_different_tenants_never_share_an_id) {
   BOOST_TEST(tenant_job_id("clinic", "j1") != tenant_job_id("shop", "j1"));
   BOOST_TEST(tenant_job_id({}, "j1") == "j1");
-  // An id of the one that looks like the other's is neither.
+  // A client-chosen id that equals another tenant's internal id is mapped to a different one.
   const std::string foreign = tenant_job_id("shop", "j1");
   BOOST_TEST(tenant_job_id("clinic", foreign) != foreign);
 }
--- a/tests/batch/partition_owner_test.cpp
+++ b/tests/batch/partition_owner_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kRecordBytes = 4096;
 const BatchTopics kTopics{"jobs", "results", "reservations", "group"};
 
-/// An owner of one partition on a stand-in log, in simulated time.
+/// An owner of one partition on an in-memory log, in simulated time.
 struct Fixture : PartitionOwnerObserver {
   Knobs knobs;
   MemoryLog log{LogLimits{1, kRecordBytes, 16 * kRecordBytes, std::chrono::seconds(1)}, 1};
@@ -53,12 +53,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(partition_owner, Fixture)
 
-// An owner that makes sure of its epoch appends nothing under its next sequence number. The answer
-// was lost; until the append was repeated, items had ended, and their results went into the
-// repetition. The log took it for the one that it had done and confirmed it: the results were read,
-// but never written. The next owner ran the items again and listed them in another order:
-//   BROKEN LOST: position 0: item 1 became item 0, position 1: item 4 became item 1
-BOOST_AUTO_TEST_CASE(results_are_not_confirmed_by_an_append_that_was_sent_before_them) {
+// Regression test: an owner verifies its epoch with an empty append under its next sequence number.
+// The answer was lost, and results of items that had ended in the meantime were added to the retry.
+// The log took the retry for a duplicate of the completed append and confirmed it: the results were
+// readable but never written. The next owner ran the items again and listed them in another order
+// (position 0 changed from item 1 to item 0, position 1 from item 4 to item 1).
+BOOST_AUTO_TEST_CASE(results_are_not_added_to_the_retry_of_an_earlier_append) {
   submit("a", 2);
   run(500);
   BOOST_TEST(owner->active());
--- a/tests/batch/partition_ownership_test.cpp
+++ b/tests/batch/partition_ownership_test.cpp
@@ -1,8 +1,8 @@
-/// Owners of batch partitions under the failures of the log and of their own processes.
+/// Partition ownership under log failures, restarts and pauses of nodes.
 ///
-/// A small world of nodes that share a stand-in log. Each node runs the product's group member,
-/// partition owners and checkpoints; its "replica" ends an item a few rounds after it starts. The
-/// checks look at what readers and the log see.
+/// Simulates nodes that share an in-memory log. Each node runs the production group member,
+/// partition owners and checkpoints; its simulated replica finishes an item after a random number
+/// of ticks. The checks use only results visible to readers and records in the log.
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -27,14 +27,14 @@
 constexpr std::int64_t kStepMs = 20;
 const BatchTopics kTopics{"jobs", "results", "reservations", "owners"};
 
-/// The log as one node reaches it, or does not.
+/// One node's connection to the log, which can be cut.
 class CuttableLog : public PartitionedLog {
  public:
   explicit CuttableLog(MemoryLog& log) : log_(log) {}
 
   bool cut = false;
 
-  /// Ends calls that were cut off.
+  /// Fails the calls that were made while the connection was cut and have timed out.
   void advance(TimePoint now) {
     now_ = now;
     std::vector<std::pair<TimePoint, std::function<void()>>> later;
@@ -103,7 +103,7 @@
   std::vector<std::pair<TimePoint, std::function<void()>>> ends_;
 };
 
-/// One node of the world.
+/// One simulated node.
 class Node : PartitionOwnerObserver, GroupMemberObserver {
  public:
   Node(const Knobs& knobs, CuttableLog& log, const std::string& name, std::uint64_t seed)
@@ -184,7 +184,7 @@
   GroupMember group_;
 };
 
-/// The world, replayed from one seed.
+/// Simulation of all nodes, reproducible from its seed.
 class World {
  public:
   explicit World(std::uint64_t seed) : random_(seed) {
@@ -194,7 +194,7 @@
     }
   }
 
-  /// @return a sentence about what is wrong, or nothing.
+  /// @return a description of the first violation, or an empty string.
   std::string simulate() {
     constexpr std::int64_t kFaultsEndMs = 30'000;
     constexpr std::int64_t kEndMs = 50'000;
@@ -279,7 +279,7 @@
                 });
   }
 
-  /// What was once read at a position stays there at every node.
+  /// Checks on every node that the item at a result position never changes once read.
   void check_all_nodes() {
     for (const auto& [id, items] : jobs_) {
       for (int index = 0; index < kNodes; ++index) {
@@ -297,14 +297,15 @@
     }
   }
 
-  /// What was read at one node a second ago is there at every other that answers.
+  /// Checks that results read on any node more than a second ago are visible on every node that
+  /// answers.
   void check_length(const std::string& id, std::size_t length) {
     constexpr std::int64_t kSettleMs = 1'000;
     auto& lengths = lengths_[id];
     for (const auto& [read_at, read_length] : lengths) {
       if (read_length > length && read_at + kSettleMs < now_ && log_.faults.calm()) {
-        problem_ = id + " has " + std::to_string(length) + " results where " +
-                   std::to_string(read_length) + " had been read";
+        problem_ = id + " has " + std::to_string(length) + " results, but " +
+                   std::to_string(read_length) + " were read before";
       }
     }
     if (lengths.empty() || length > lengths.back().second) {
@@ -319,9 +320,9 @@
         found = found == nullptr && node ? node->read(id) : found;
       }
       if (found == nullptr) {
-        problem_ = id + " was accepted and cannot be read";
+        problem_ = id + " was accepted but cannot be read";
       } else if (!found->complete()) {
-        problem_ = id + " was accepted and has unfinished items";
+        problem_ = id + " was accepted but has unfinished items";
       }
     }
     for (int partition = 0; partition < kPartitions; ++partition) {
@@ -354,7 +355,7 @@
 
 BOOST_AUTO_TEST_SUITE(partition_ownership)
 
-BOOST_AUTO_TEST_CASE(positions_hold_and_accepted_items_end_once_under_every_failure) {
+BOOST_AUTO_TEST_CASE(result_positions_are_stable_and_accepted_items_end_once_under_failures) {
   constexpr std::uint64_t kSeeds = 300;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const std::string problem = World(seed).simulate();
--- a/tests/batch/partition_state_test.cpp
+++ b/tests/batch/partition_state_test.cpp
@@ -41,7 +41,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(partition_state, Fixture)
 
-BOOST_AUTO_TEST_CASE(first_of_two_racing_claims_wins) {
+BOOST_AUTO_TEST_CASE(the_first_of_two_concurrent_claims_wins) {
   take_over(1, "a");
   BOOST_TEST((add(OwnershipClaim{1, 0, "b", 1}) == RecordVerdict::kStaleEpoch));
   BOOST_TEST(state.owner() == "a");
@@ -50,7 +50,7 @@
   BOOST_TEST(state.owner() == "b");
 }
 
-BOOST_AUTO_TEST_CASE(a_former_owner_decides_nothing) {
+BOOST_AUTO_TEST_CASE(owner_decisions_with_a_stale_epoch_are_rejected) {
   take_over(1, "a");
   BOOST_TEST((accept(1, "job", 2) == RecordVerdict::kApplied));
   take_over(2, "b");
@@ -59,7 +59,7 @@
   BOOST_TEST((add(OnlineAttempt{1, "key", "t"}) == RecordVerdict::kStaleEpoch));
 }
 
-BOOST_AUTO_TEST_CASE(first_completion_is_the_result_whoever_wrote_it) {
+BOOST_AUTO_TEST_CASE(the_first_completion_is_the_result_regardless_of_its_writer) {
   take_over(1, "a");
   accept(1, "job", 2);
   take_over(2, "b");
@@ -73,7 +73,7 @@
   BOOST_TEST(state.open_jobs().empty());
 }
 
-BOOST_AUTO_TEST_CASE(nothing_counts_after_a_cancel) {
+BOOST_AUTO_TEST_CASE(attempts_and_completions_are_ignored_after_a_cancellation) {
   take_over(1, "a");
   accept(1, "job", 2);
   complete("job", 0);
@@ -84,7 +84,7 @@
   BOOST_TEST((state.find_job("job")->status() == JobStatus::kCancelled));
 }
 
-BOOST_AUTO_TEST_CASE(an_item_is_attempted_once) {
+BOOST_AUTO_TEST_CASE(only_the_first_attempt_of_an_item_is_applied) {
   take_over(1, "a");
   accept(1, "job", 1);
   BOOST_TEST((add(ItemAttempt{1, "job", 0}) == RecordVerdict::kApplied));
@@ -93,7 +93,7 @@
   BOOST_TEST((add(ItemAttempt{2, "job", 0}) == RecordVerdict::kRepeated));
 }
 
-BOOST_AUTO_TEST_CASE(only_the_holder_of_a_key_frees_it) {
+BOOST_AUTO_TEST_CASE(only_the_request_holding_an_idempotency_key_can_withdraw_it) {
   take_over(1, "a");
   BOOST_TEST((add(OnlineAttempt{1, "key", "t1"}) == RecordVerdict::kApplied));
   BOOST_TEST((add(OnlineAttempt{1, "key", "t2"}) == RecordVerdict::kRepeated));
@@ -103,7 +103,7 @@
   BOOST_TEST((add(OnlineAttempt{1, "key", "t2"}) == RecordVerdict::kApplied));
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_continues_like_the_whole_history) {
+BOOST_AUTO_TEST_CASE(a_restored_snapshot_evolves_like_the_original_state) {
   take_over(1, "a");
   accept(1, "job", 3);
   complete("job", 1);
@@ -117,7 +117,7 @@
   BOOST_TEST((PartitionState::restore("garbage") == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(records_travel_whole_and_unknown_ones_are_skipped) {
+BOOST_AUTO_TEST_CASE(records_survive_serialization_and_unknown_types_are_not_decoded) {
   const PartitionRecord record{{7, 8}, ItemCompleted{"job", 3, "c", 200, 0, "{}", 5}};
   const std::string bytes = encode(record);
   const auto decoded = decode_partition_record(bytes);
@@ -125,12 +125,12 @@
   BOOST_TEST(encode(*decoded) == bytes);
   BOOST_TEST(!decode_partition_record("").has_value());
   BOOST_TEST(!decode_partition_record(bytes.substr(0, bytes.size() / 2)).has_value());
-  // A type that only a later version knows: [version, id, type, body].
+  // A record type of a later version: [version, id, type, body].
   const std::string later = pack(std::make_tuple(1, std::make_tuple(7, 8), 200, std::string("x")));
   BOOST_TEST(!decode_partition_record(later).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_newest_whole_checkpoint_is_found_among_broken_ones) {
+BOOST_AUTO_TEST_CASE(the_newest_complete_checkpoint_is_found_among_incomplete_ones) {
   const std::string old_snapshot(1000, 'o');
   const std::string new_snapshot(1000, 'n');
   std::vector<std::string> stream = make_checkpoint_records(10, 1, old_snapshot, 300);
@@ -140,7 +140,7 @@
   for (std::size_t index = 0; index < first.size(); ++index) {
     stream.push_back(first[index]);
     if (index + 1 < second.size()) {
-      stream.push_back(second[index]);  // Its writer dies before the last chunk.
+      stream.push_back(second[index]);  // The writer crashes before the last chunk.
     }
   }
   BOOST_TEST(assemble_checkpoint(stream).value() == new_snapshot);
--- a/tests/batch/reservation_table_test.cpp
+++ b/tests/batch/reservation_table_test.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(reservation_table)
 
-BOOST_AUTO_TEST_CASE(it_sums_the_newest_reservation_of_each_job) {
+BOOST_AUTO_TEST_CASE(the_newest_reservations_of_all_jobs_are_summed) {
   ReservationTable table("route");
   BOOST_TEST(table.apply(reservation_record("route", "a", {100, 1'000})) == 0);
   BOOST_TEST(table.apply(reservation_record("route", "b", {50, 2'000})) == 0);
@@ -20,13 +20,13 @@
   BOOST_TEST(table.find("a")->tokens == 30);
 }
 
-BOOST_AUTO_TEST_CASE(routes_that_share_a_partition_are_told_apart) {
+BOOST_AUTO_TEST_CASE(records_of_other_routes_in_the_partition_are_ignored) {
   ReservationTable table("one");
   table.apply(reservation_record("other", "a", {100, 0}));
   BOOST_TEST(table.tokens({}) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(malformed_records_change_nothing) {
+BOOST_AUTO_TEST_CASE(malformed_reservation_records_are_ignored) {
   ReservationTable table("route");
   KeyedRecord record = reservation_record("route", "a", {100, 0});
   record.value = "no reservation";
--- a/tests/batch/token_quota_test.cpp
+++ b/tests/batch/token_quota_test.cpp
@@ -1,4 +1,4 @@
-/// The limit on waiting tokens, decided by many nodes over a log that fails in every way it may.
+/// The limit on waiting tokens, enforced by several nodes over a faulty log.
 
 #include "dockpoint/batch/token_quota.hpp"
 
@@ -20,7 +20,7 @@
 const TopicPartition kPartition{"reservations", 0};
 constexpr std::int64_t kStepMs = 10;
 
-/// A job as the log has it and as its items stand.
+/// State of a job in the log and of its items.
 struct Job {
   double tokens = 0;
   double waiting = 0;
@@ -29,7 +29,7 @@
 };
 using Jobs = std::map<std::string, Job>;
 
-/// The owner of all partitions at one node; whoever is not the owner knows nothing.
+/// One node's view of the jobs: a node owns either all partitions or none, and then knows no job.
 class Owner : public OwnedJobs {
  public:
   explicit Owner(const Jobs& jobs) : jobs_(jobs) {}
@@ -57,8 +57,8 @@
   const Jobs& jobs_;
 };
 
-/// Nodes that share a log, replayed from one seed. Jobs come at every node, are sent again, and
-/// their items end at random; nodes restart and stand still.
+/// Simulation of nodes that share a log, reproducible from its seed. Jobs are submitted and
+/// resubmitted on all nodes, items finish at random, and nodes restart and pause.
 class World {
  public:
   World(std::uint64_t seed, double limit) : random_(seed), limit_(limit) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /// @return a sentence about what is wrong, or nothing.
+  /// @return a description of the first violation, or an empty string.
   std::string simulate() {
     constexpr std::int64_t kFaultsEndMs = 30'000;
     constexpr std::int64_t kEndMs = 60'000;
@@ -157,7 +157,7 @@
     const QuotaStart start =
         node.quota.reserve({id, job.tokens, at(now_) + knobs_.submission_wait},
                            [this, id, started, sent = now_](const QuotaAnswer& answer) {
-                             take(id, answer, sent, *started);
+                             handle_answer(id, answer, sent, *started);
                            });
     if (start == QuotaStart::kProceed) {
       *started = true;
@@ -165,7 +165,8 @@
     }
   }
 
-  void take(const std::string& id, const QuotaAnswer& answer, std::int64_t sent, bool started) {
+  void handle_answer(const std::string& id, const QuotaAnswer& answer, std::int64_t sent,
+                     bool started) {
     Job& job = jobs_[id];
     const bool in_time = at(now_) < at(sent) + knobs_.submission_wait;
     if (answer.verdict == QuotaVerdict::kReserved && in_time) {
@@ -173,7 +174,7 @@
       job.accepted = true;
       check_limit(id);
     } else if (answer.verdict == QuotaVerdict::kOverLimit && started) {
-      problem_ = id + " was refused after it was told to go ahead";
+      problem_ = id + " was refused after the answer kProceed";
     }
   }
 
@@ -183,7 +184,7 @@
       waiting += job.accepted ? job.waiting : 0;
     }
     if (waiting > limit_) {
-      problem_ = "with " + id + " " + std::to_string(waiting) + " tokens wait at " +
+      problem_ = "after accepting " + id + " " + std::to_string(waiting) + " tokens wait at " +
                  std::to_string(now_) + " ms";
     }
   }
@@ -196,7 +197,7 @@
     }
   }
 
-  /// Nothing is lost for good: in the end the limit is free for new jobs again.
+  /// Checks that no tokens leak: once all items are finished, the whole limit is available again.
   void check_end() {
     const std::int64_t settled = now_ + 25'000;
     for (; now_ < settled; now_ += kStepMs) {
@@ -211,7 +212,7 @@
     }
     if (nodes_[owner_]->quota.waiting_tokens() > 0) {
       problem_ =
-          std::to_string(nodes_[owner_]->quota.waiting_tokens()) + " tokens are held by nobody";
+          std::to_string(nodes_[owner_]->quota.waiting_tokens()) + " tokens are reserved by no job";
     }
   }
 
@@ -228,7 +229,7 @@
   std::string problem_;
 };
 
-/// One node that owns nothing, on a log that works.
+/// One node that owns no partition, on a log without faults.
 struct Fixture {
   Knobs knobs;
   MemoryLog log{LogLimits{1, 4096, 65536, std::chrono::seconds(1)}, 1};
@@ -258,12 +259,11 @@
 
 BOOST_AUTO_TEST_SUITE(token_quota)
 
-BOOST_AUTO_TEST_CASE(accepted_jobs_stay_under_the_limit_under_every_failure) {
+BOOST_AUTO_TEST_CASE(accepted_jobs_never_exceed_the_limit_under_failures) {
   constexpr std::uint64_t kSeeds = 120;
   std::size_t accepted = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const double limit =
-        seed % 2 == 0 ? 60 : 400;  // Narrow, and so wide that nodes have allotments.
+    const double limit = seed % 2 == 0 ? 60 : 400;  // Too small for allotments, and large enough.
     World world(seed, limit);
     const std::string problem = world.simulate();
     BOOST_TEST(problem.empty(), "seed " << seed << ": " << problem);
@@ -272,7 +272,7 @@
   BOOST_TEST(accepted > kSeeds * 100);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_does_not_fit_is_refused_with_a_time, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_job_over_the_limit_is_refused_with_a_retry_time, Fixture) {
   BOOST_TEST((reserve("a", 60) == QuotaStart::kWait));
   BOOST_TEST((reserve("b", 60) == QuotaStart::kWait));
   run(100);
@@ -282,7 +282,7 @@
   BOOST_TEST((answers[1].verdict == QuotaVerdict::kReserved));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_repeated_submission_takes_no_more_room, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_repeated_submission_reserves_no_additional_tokens, Fixture) {
   reserve("a", 60);
   run(100);
   reserve("a", 60);
@@ -292,18 +292,18 @@
   BOOST_TEST(quota.waiting_tokens() == 60);
 }
 
-BOOST_FIXTURE_TEST_CASE(far_below_the_limit_a_job_need_not_wait_for_the_log, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_job_far_below_the_limit_proceeds_from_the_allotment, Fixture) {
   route.limit = 1'000;
   run(10'000);
   BOOST_TEST((reserve("a", 60) == QuotaStart::kProceed));
   BOOST_TEST((reserve("b", 60) == QuotaStart::kProceed));
-  BOOST_TEST((reserve("c", 60) == QuotaStart::kWait));  // The node's part is 125.
+  BOOST_TEST((reserve("c", 60) == QuotaStart::kWait));  // The node's allotment is 125.
   run(100);
   BOOST_REQUIRE(answers.size() == 3);
   BOOST_TEST((answers[2].verdict == QuotaVerdict::kReserved));
 }
 
-BOOST_FIXTURE_TEST_CASE(finished_items_make_room, Fixture) {
+BOOST_FIXTURE_TEST_CASE(finished_items_release_their_tokens, Fixture) {
   owner.owns = true;
   jobs["a"] = {80, 80, true, true};
   reserve("a", 80);
@@ -316,7 +316,7 @@
   BOOST_TEST((answers[1].verdict == QuotaVerdict::kReserved));
 }
 
-BOOST_FIXTURE_TEST_CASE(each_tenant_has_the_limit_for_itself, Fixture) {
+BOOST_FIXTURE_TEST_CASE(the_limit_applies_to_each_tenant_separately, Fixture) {
   reserve("a", 60, "clinic");
   reserve("b", 60, "shop");
   reserve("c", 60, "clinic");
@@ -329,7 +329,7 @@
   BOOST_TEST(quota.waiting_tokens("shop") == 60);
 }
 
-BOOST_FIXTURE_TEST_CASE(tenants_add_no_calls_while_nobody_submits, Fixture) {
+BOOST_FIXTURE_TEST_CASE(idle_tenants_add_no_log_calls, Fixture) {
   const auto calls_of = [&](std::int64_t milliseconds) {
     const std::size_t before = log.reads();
     run(milliseconds);
@@ -354,7 +354,7 @@
   BOOST_TEST(quota.waiting_tokens() == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(without_the_log_nothing_is_reserved, Fixture) {
+BOOST_FIXTURE_TEST_CASE(nothing_is_reserved_while_the_log_is_down, Fixture) {
   log.faults.down = true;
   reserve("a", 60);
   run(3'000);
