--- a/src/batch/job_ledger.cpp
+++ b/src/batch/job_ledger.cpp
@@ -15,13 +15,13 @@
 constexpr char kCheckpointPrefix = 'p';
 constexpr char kSeparator = '/';
 
-/// Room that key and framing take in a record, in bytes.
+/// Space reserved for key and framing in a record, in bytes.
 constexpr std::size_t kRecordOverhead = 512;
 
 struct ItemWire {
   std::string id;
   std::string path;
-  std::vector<std::string> headers;  ///< Names and values in turn.
+  std::vector<std::string> headers;  ///< Alternating names and values.
   std::string body;
   double tokens = 0;
   DOCKPOINT_FIELDS(id, path, headers, body, tokens)
@@ -33,7 +33,7 @@
   std::string path;
   std::int64_t submitted_ms = 0;
   std::vector<ItemWire> items;
-  std::string tenant;  ///< Absent in records of versions without tenants.
+  std::string tenant;  ///< Missing in records written before tenants were introduced.
   DOCKPOINT_FIELDS(id, host, path, submitted_ms, items, tenant)
 };
 
@@ -58,7 +58,7 @@
          std::to_string(number);
 }
 
-/// Four bytes before each piece: how many pieces the value has.
+/// Prefixes a piece with the number of pieces of its value, as a 4-byte big-endian integer.
 std::string with_count(std::uint32_t count, std::string_view piece) {
   std::string value;
   for (int shift = 24; shift >= 0; shift -= 8) {
@@ -68,8 +68,8 @@
   return value;
 }
 
-std::vector<KeyedRecord> cut(const std::string& name, std::string_view value,
-                             std::size_t record_bytes) {
+std::vector<KeyedRecord> split_into_records(const std::string& name, std::string_view value,
+                                            std::size_t record_bytes) {
   const std::size_t piece_bytes = record_bytes - std::min(record_bytes / 2, kRecordOverhead);
   const auto count = static_cast<std::uint32_t>((value.size() + piece_bytes - 1) / piece_bytes);
   std::vector<KeyedRecord> records;
@@ -80,7 +80,7 @@
   return records;
 }
 
-/// @return the number at a place of a key.
+/// @return the decimal number that starts at position `start` of a key.
 std::uint32_t to_index(const std::string& key, std::size_t start) {
   std::uint32_t index = 0;
   std::from_chars(key.data() + start, key.data() + key.size(), index);
@@ -131,7 +131,7 @@
 }
 
 std::vector<KeyedRecord> job_records(const BatchJob& job, std::size_t record_bytes) {
-  return cut(kJobPrefix + job.id, pack(to_wire(job)), record_bytes);
+  return split_into_records(kJobPrefix + job.id, pack(to_wire(job)), record_bytes);
 }
 
 KeyedRecord end_record(const std::string& job) {
@@ -141,7 +141,8 @@
 std::vector<KeyedRecord> result_records(const std::string& job, const ItemResult& result,
                                         std::size_t record_bytes) {
   const std::string name = kResultPrefix + job + kSeparator + std::to_string(result.item);
-  return cut(name, pack(ResultWire{result.item, result.succeeded, result.text}), record_bytes);
+  return split_into_records(name, pack(ResultWire{result.item, result.succeeded, result.text}),
+                            record_bytes);
 }
 
 KeyedRecord checkpoint_record(const std::string& job, std::uint32_t item,
@@ -156,7 +157,7 @@
 }
 
 std::string tenant_job_id(const std::string& tenant, const std::string& id) {
-  // The hash has a fixed length, so that no id of one tenant begins like those of another.
+  // The hash has a fixed length, so ids of different tenants never share a prefix.
   return tenant.empty() ? id : hash128_hex(tenant) + id;
 }
 
@@ -164,7 +165,7 @@
   return static_cast<int>(hash64(job) % static_cast<std::uint64_t>(std::max(1, partitions)));
 }
 
-std::optional<ChunkAssembler::Whole> ChunkAssembler::add(const KeyedRecord& record) {
+std::optional<ChunkAssembler::Value> ChunkAssembler::add(const KeyedRecord& record) {
   constexpr std::size_t kCountBytes = 4;
   const std::size_t slash = record.key.rfind(kSeparator);
   if (slash == std::string::npos || record.value.size() < kCountBytes) {
@@ -182,20 +183,20 @@
   if (parts.chunks.size() < count) {
     return std::nullopt;
   }
-  Whole whole{name, {}, parts.offset};
+  Value value_read{name, {}, parts.offset};
   for (auto& [number, chunk] : parts.chunks) {
-    whole.value += chunk;
+    value_read.value += chunk;
   }
   parts_.erase(name);
-  return whole;
+  return value_read;
 }
 
-std::optional<std::string> JobLedger::take_job_record(const KeyedRecord& record) {
+std::optional<std::string> JobLedger::apply_job_record(const KeyedRecord& record) {
   if (record.key.empty()) {
     return std::nullopt;
   }
   if (record.value.empty()) {
-    forget(record.key);
+    remove_job(record.key);
     return std::nullopt;
   }
   if (record.key.front() == kEndPrefix) {
@@ -208,11 +209,11 @@
     found->second.ended = true;
     return id;
   }
-  const auto whole = assembler_.add(record);
-  if (!whole || whole->name.front() != kJobPrefix) {
+  const auto value_read = assembler_.add(record);
+  if (!value_read || value_read->name.front() != kJobPrefix) {
     return std::nullopt;
   }
-  auto wire = unpack<JobWire>(whole->value);
+  auto wire = unpack<JobWire>(value_read->value);
   if (!wire || jobs_.contains(wire->id)) {
     return std::nullopt;
   }
@@ -230,31 +231,31 @@
   return id;
 }
 
-void JobLedger::forget(const std::string& key) {
+void JobLedger::remove_job(const std::string& key) {
   const std::string id = key.substr(1, key.find(kSeparator) - 1);
   ended_.erase(id);
   jobs_.erase(id);
 }
 
 void JobLedger::load_results(std::vector<KeyedRecord> records) {
-  std::vector<ChunkAssembler::Whole> results;
+  std::vector<ChunkAssembler::Value> results;
   ChunkAssembler assembler;
   for (const KeyedRecord& record : records) {
     if (!record.key.starts_with(kResultPrefix)) {
       continue;
     }
-    if (auto whole = assembler.add(record)) {
-      results.push_back(std::move(*whole));
+    if (auto value_read = assembler.add(record)) {
+      results.push_back(std::move(*value_read));
     }
   }
   load_checkpoints(records);
   std::sort(results.begin(), results.end(),
             [](const auto& one, const auto& other) { return one.offset < other.offset; });
-  for (const ChunkAssembler::Whole& whole : results) {
-    const std::size_t slash = whole.name.rfind(kSeparator);
-    auto wire = unpack<ResultWire>(whole.value);
+  for (const ChunkAssembler::Value& value_read : results) {
+    const std::size_t slash = value_read.name.rfind(kSeparator);
+    auto wire = unpack<ResultWire>(value_read.value);
     if (slash != std::string::npos && wire) {
-      add_result(whole.name.substr(1, slash - 1),
+      add_result(value_read.name.substr(1, slash - 1),
                  {wire->item, wire->succeeded, std::move(wire->text)});
     }
   }
--- a/src/batch/partition_state.cpp
+++ b/src/batch/partition_state.cpp
@@ -15,7 +15,7 @@
   return completed.status >= 200 && completed.status < 300;
 }
 
-/// The persistent form of a state; fields are only ever appended.
+/// Serialized form of the state. New fields may only be appended.
 struct Snapshot {
   std::uint64_t epoch = 0;
   std::string owner;
@@ -49,7 +49,7 @@
 
 RecordVerdict PartitionState::apply(Offset offset, const PartitionRecord& record) {
   next_offset_ = offset + 1;
-  return std::visit([&](const auto& body) { return take(offset, body); }, record.body);
+  return std::visit([&](const auto& body) { return apply_body(offset, body); }, record.body);
 }
 
 const JobState* PartitionState::find_job(const std::string& id) const {
@@ -57,7 +57,7 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-RecordVerdict PartitionState::take(Offset, const OwnershipClaim& claim) {
+RecordVerdict PartitionState::apply_body(Offset, const OwnershipClaim& claim) {
   const bool replaces_current = claim.replaces == epoch_ && claim.epoch == epoch_ + 1;
   if (mechanisms_.ownership_epochs && !replaces_current) {
     return RecordVerdict::kStaleEpoch;
@@ -65,19 +65,19 @@
   epoch_ = claim.epoch;
   owner_ = claim.owner;
   owner_run_ = claim.run;
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const OwnershipRelease& release) {
+RecordVerdict PartitionState::apply_body(Offset, const OwnershipRelease& release) {
   if (stale(release.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
   owner_.clear();
   owner_run_ = 0;
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const JobAccepted& accepted) {
+RecordVerdict PartitionState::apply_body(Offset, const JobAccepted& accepted) {
   if (stale(accepted.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
@@ -93,10 +93,10 @@
   } else {
     job.ended_at = job.spec.created_at;
   }
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const JobCancelled& cancelled) {
+RecordVerdict PartitionState::apply_body(Offset, const JobCancelled& cancelled) {
   const auto found = jobs_.find(cancelled.job);
   if (found == jobs_.end()) {
     return RecordVerdict::kUnknownJob;
@@ -108,10 +108,10 @@
   job.cancelled = true;
   job.ended_at = cancelled.at;
   open_jobs_.erase(cancelled.job);
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const ItemAttempt& attempt) {
+RecordVerdict PartitionState::apply_body(Offset, const ItemAttempt& attempt) {
   if (stale(attempt.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
@@ -124,10 +124,10 @@
     return RecordVerdict::kRepeated;
   }
   const bool first = job.attempts.emplace(attempt.item, attempt.epoch).second;
-  return first ? RecordVerdict::kTaken : RecordVerdict::kRepeated;
+  return first ? RecordVerdict::kApplied : RecordVerdict::kRepeated;
 }
 
-RecordVerdict PartitionState::take(Offset offset, const ItemCompleted& completed) {
+RecordVerdict PartitionState::apply_body(Offset offset, const ItemCompleted& completed) {
   const auto found = jobs_.find(completed.job);
   if (found == jobs_.end() || completed.item >= found->second.spec.items) {
     return RecordVerdict::kUnknownJob;
@@ -153,24 +153,24 @@
     job.ended_at = completed.at;
     open_jobs_.erase(completed.job);
   }
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
-RecordVerdict PartitionState::take(Offset, const OnlineAttempt& attempt) {
+RecordVerdict PartitionState::apply_body(Offset, const OnlineAttempt& attempt) {
   if (stale(attempt.epoch)) {
     return RecordVerdict::kStaleEpoch;
   }
-  return online_attempts_.emplace(attempt.key, attempt.token).second ? RecordVerdict::kTaken
+  return online_attempts_.emplace(attempt.key, attempt.token).second ? RecordVerdict::kApplied
                                                                      : RecordVerdict::kRepeated;
 }
 
-RecordVerdict PartitionState::take(Offset, const OnlineAttemptWithdrawn& withdrawn) {
+RecordVerdict PartitionState::apply_body(Offset, const OnlineAttemptWithdrawn& withdrawn) {
   const auto found = online_attempts_.find(withdrawn.key);
   if (found == online_attempts_.end() || found->second != withdrawn.token) {
     return RecordVerdict::kRepeated;
   }
   online_attempts_.erase(found);
-  return RecordVerdict::kTaken;
+  return RecordVerdict::kApplied;
 }
 
 std::string PartitionState::snapshot() const {
--- a/src/batch/reservation_table.cpp
+++ b/src/batch/reservation_table.cpp
@@ -12,11 +12,12 @@
 struct ReservationWire {
   double tokens = 0;
   std::int64_t reserved_ms = 0;
-  std::string tenant;  ///< Absent in records of versions without tenants.
+  std::string tenant;  ///< Missing in records written before tenants were introduced.
   DOCKPOINT_FIELDS(tokens, reserved_ms, tenant)
 };
 
-/// Routes may share a partition: keys begin with the route's hash, which has a fixed length.
+/// @return the key prefix of a route. Routes may share a partition, so keys start with the route's
+/// hash, which has a fixed length.
 std::string key_prefix(const std::string& route) {
   constexpr std::size_t kHexDigits = 16;
   char digits[kHexDigits + 1];
@@ -42,7 +43,7 @@
   tokens_by_tenant_.clear();
 }
 
-double ReservationTable::take(const KeyedRecord& record) {
+double ReservationTable::apply(const KeyedRecord& record) {
   const std::string prefix = key_prefix(route_);
   if (!record.key.starts_with(prefix)) {
     return 0;
@@ -61,9 +62,9 @@
 
 double ReservationTable::replace(const std::string& job,
                                  const std::optional<TokenReservation>& reservation) {
-  const auto held = find(job);
-  if (held) {
-    add_tokens(held->tenant, -held->tokens);
+  const auto existing = find(job);
+  if (existing) {
+    add_tokens(existing->tenant, -existing->tokens);
   }
   if (reservation) {
     add_tokens(reservation->tenant, reservation->tokens);
@@ -71,7 +72,7 @@
   } else {
     by_job_.erase(job);
   }
-  return std::max(0.0, (held ? held->tokens : 0) - (reservation ? reservation->tokens : 0));
+  return std::max(0.0, (existing ? existing->tokens : 0) - (reservation ? reservation->tokens : 0));
 }
 
 void ReservationTable::add_tokens(const std::string& tenant, double tokens) {
--- a/src/batch/token_quota.cpp
+++ b/src/batch/token_quota.cpp
@@ -5,17 +5,19 @@
 namespace dockpoint {
 namespace {
 
-/// Pause after a call that failed.
+/// Delay before retrying after a failed call.
 constexpr Duration kRetryPause = std::chrono::milliseconds(120);
 
-/// Share of the limit below which nodes have allotments, which make up the rest.
+/// Share of the limit that is divided among the nodes as allotments. Nodes have allotments only
+/// while the reservations are below this share of the limit.
 constexpr double kAllottedShare = 0.5;
 
-/// A node that has just started does not know how many others there are.
-constexpr Duration kFleetUnknown = std::chrono::seconds(3);
+/// Time after the start during which the number of other nodes is not known yet, so that a node
+/// must not use an allotment.
+constexpr Duration kFleetDiscoveryTime = std::chrono::seconds(3);
 
-/// Most corrections in one append.
-constexpr std::size_t kMostCorrections = 200;
+/// Maximum number of corrections or removals per append.
+constexpr std::size_t kMaxCorrections = 200;
 
 }  // namespace
 
@@ -36,18 +38,18 @@
 void TokenQuota::on_snapshot(const std::vector<KeyedRecord>& records) {
   table_.clear();
   for (const KeyedRecord& record : records) {
-    table_.take(record);
+    table_.apply(record);
   }
   for (const auto& [job, reservation] : table_.all()) {
-    note_job_size(reservation.tokens);
+    record_job_size(reservation.tokens);
   }
 }
 
 void TokenQuota::on_record(const KeyedRecord& record) {
-  const auto held = table_.find_record(record);
-  const double released = table_.take(record);
-  if (held && released > 0) {
-    released_.try_emplace(held->tenant, knobs_.quota_release_memory)
+  const auto existing = table_.find_record(record);
+  const double released = table_.apply(record);
+  if (existing && released > 0) {
+    released_.try_emplace(existing->tenant, knobs_.quota_release_memory)
         .first->second.add(now_, released);
   }
 }
@@ -65,19 +67,20 @@
 
 void TokenQuota::on_reachable(bool /*reachable*/, Duration /*silence*/) {}
 
-void TokenQuota::note_job_size(double tokens) {
+void TokenQuota::record_job_size(double tokens) {
   largest_job_ = std::max(largest_job_, tokens);
 }
 
-bool TokenQuota::wide() const {
+bool TokenQuota::allotments_enabled() const {
   return kAllottedShare * route_.limit / static_cast<double>(route_.nodes) >= largest_job_;
 }
 
 double TokenQuota::usable_limit(const std::string& tenant) const {
-  if (!wide()) {
+  if (!allotments_enabled()) {
     return route_.limit;
   }
-  // Allotments were given at most so long ago, and their jobs are accepted or given up by now.
+  // Every allotment still in effect was granted more recently than this, and the jobs of earlier
+  // allotments are accepted or abandoned by now.
   const Duration oldest =
       knobs_.quota_allotment_time + knobs_.submission_wait + knobs_.clock_error / 2;
   const double old = table_.tokens_reserved_before(tenant, now_ms_ - to_ms(oldest));
@@ -88,19 +91,19 @@
 void TokenQuota::renew_allotments() {
   allotted_tokens_.clear();
   allotments_until_ = {};
-  const bool fleet_known = now_ - started_ >= kFleetUnknown;
-  if (!fleet_known || !wide()) {
+  const bool fleet_known = now_ - started_ >= kFleetDiscoveryTime;
+  if (!fleet_known || !allotments_enabled()) {
     return;
   }
   for (const Pending& pending : allotted_) {
     allotted_tokens_[pending.request.tenant] +=
-        pending.request.tokens;  // Not seen in the topic yet.
+        pending.request.tokens;  // Not visible in the topic yet.
   }
   allotments_until_ = refreshed_ + knobs_.quota_allotment_time;
 }
 
 double TokenQuota::allotment(const std::string& tenant) const {
-  if (now_ >= allotments_until_ || !wide() ||
+  if (now_ >= allotments_until_ || !allotments_enabled() ||
       table_.tokens(tenant) >= kAllottedShare * route_.limit) {
     return 0;
   }
@@ -109,7 +112,7 @@
          (taken == allotted_tokens_.end() ? 0 : taken->second);
 }
 
-bool TokenQuota::recent(const TokenReservation& reservation) const {
+bool TokenQuota::is_recent(const TokenReservation& reservation) const {
   return now_ms_ - reservation.reserved_ms < to_ms(knobs_.quota_recent);
 }
 
@@ -125,13 +128,13 @@
 }
 
 QuotaStart TokenQuota::reserve(QuotaRequest request, Done done) {
-  note_job_size(request.tokens);
+  record_job_size(request.tokens);
   const bool covered = request.tokens <= allotment(request.tenant) && !table_.find(request.job);
   if (covered) {
     allotted_tokens_[request.tenant] += request.tokens;
     allotted_.push_back({std::move(request), std::move(done)});
     write_allotted();
-    return QuotaStart::kGoAhead;
+    return QuotaStart::kProceed;
   }
   waiting_.push_back({std::move(request), std::move(done)});
   refresh();
@@ -147,7 +150,7 @@
   if (deciding_ || waiting_.empty() || now_ < retry_at_) {
     return;
   }
-  std::map<std::string, double> taken_tokens;  // By tenant, in this round.
+  std::map<std::string, double> taken_tokens;  // Tokens granted in this round, by tenant.
   PendingList known;
   PendingList taken;
   PendingList refused;
@@ -156,11 +159,11 @@
     const std::string& tenant = pending.request.tenant;
     const double limit = usable_limit(tenant);
     const double tokens = table_.tokens(tenant) + taken_tokens[tenant];
-    const auto held = table_.find(pending.request.job);
-    if (held && recent(*held)) {
+    const auto existing = table_.find(pending.request.job);
+    if (existing && is_recent(*existing)) {
       known.push_back(std::move(pending));
-    } else if (held || tokens + pending.request.tokens <= limit) {
-      taken_tokens[tenant] += held ? 0 : pending.request.tokens;
+    } else if (existing || tokens + pending.request.tokens <= limit) {
+      taken_tokens[tenant] += existing ? 0 : pending.request.tokens;
       taken.push_back(std::move(pending));
     } else {
       pauses.push_back(time_to_free(tenant, tokens + pending.request.tokens - limit));
@@ -181,8 +184,8 @@
   }
   std::vector<KeyedRecord> records;
   for (const Pending& pending : taken) {
-    const auto held = table_.find(pending.request.job);
-    const double tokens = held ? held->tokens : pending.request.tokens;
+    const auto existing = table_.find(pending.request.job);
+    const double tokens = existing ? existing->tokens : pending.request.tokens;
     records.push_back(reservation_record(route_name_, pending.request.job,
                                          {tokens, now_ms_, pending.request.tenant}));
   }
@@ -198,7 +201,7 @@
           answer(std::move(taken), QuotaVerdict::kReserved);
           return;
         }
-        // Another node was first, or the answer was lost: the topic tells.
+        // Another node appended first, or the answer was lost: read the topic to find out.
         std::move(taken.begin(), taken.end(), std::back_inserter(waiting_));
         if (outcome.status != LogStatus::kEndMoved) {
           retry_at_ = now_ + kRetryPause;
@@ -229,7 +232,7 @@
                   retry_at_ = now_ + kRetryPause;
                   return;
                 }
-                // Those that came meanwhile stand behind; none leaves the list while it is written.
+                // Requests added in the meantime are behind these; none is removed during a write.
                 const auto end = allotted_.begin() + static_cast<std::ptrdiff_t>(count);
                 PendingList written(std::make_move_iterator(allotted_.begin()),
                                     std::make_move_iterator(end));
@@ -274,17 +277,17 @@
 
 void TokenQuota::expire() {
   const auto in_time = [&](const Pending& pending) { return now_ < pending.request.deadline; };
-  PendingList late;
-  const auto take_late = [&](PendingList& list) {
+  PendingList expired;
+  const auto move_expired = [&](PendingList& list) {
     const auto first = std::stable_partition(list.begin(), list.end(), in_time);
-    std::move(first, list.end(), std::back_inserter(late));
+    std::move(first, list.end(), std::back_inserter(expired));
     list.erase(first, list.end());
   };
-  take_late(waiting_);
+  move_expired(waiting_);
   if (!writing_) {
-    take_late(allotted_);
+    move_expired(allotted_);
   }
-  answer(std::move(late), QuotaVerdict::kUnavailable);
+  answer(std::move(expired), QuotaVerdict::kUnavailable);
 }
 
 Duration TokenQuota::audit_interval() const {
@@ -299,9 +302,9 @@
   audit_due_ = false;
   const std::vector<KeyedRecord> differences = corrections();
   if (!differences.empty()) {
-    // Writing late what an owner knew is safe: waiting tokens only become fewer.
+    // A delayed correction is safe: a job's waiting tokens only decrease.
     log_.append(partition_, differences, std::nullopt, [](const AppendOutcome& /*outcome*/) {
-      // What was not written differs still when the next audit comes.
+      // If the append failed, the next audit finds the same differences.
     });
     return;
   }
@@ -320,11 +323,11 @@
 
 std::vector<KeyedRecord> TokenQuota::corrections() const {
   std::vector<KeyedRecord> records;
-  for (const auto& [job, held] : table_.all()) {
+  for (const auto& [job, existing] : table_.all()) {
     const auto state = jobs_.find(job);
-    if (state && state->known && state->waiting_tokens != held.tokens) {
-      records.push_back(reservation_record(route_name_, job,
-                                           {state->waiting_tokens, held.reserved_ms, held.tenant}));
+    if (state && state->known && state->waiting_tokens != existing.tokens) {
+      records.push_back(reservation_record(
+          route_name_, job, {state->waiting_tokens, existing.reserved_ms, existing.tenant}));
     }
   }
   for (const OwnedJobs::OpenJob& open : jobs_.open_jobs(route_name_)) {
@@ -333,19 +336,19 @@
           reservation_record(route_name_, open.id, {open.waiting_tokens, now_ms_, open.tenant}));
     }
   }
-  records.resize(std::min(records.size(), kMostCorrections));
+  records.resize(std::min(records.size(), kMaxCorrections));
   return records;
 }
 
 std::vector<KeyedRecord> TokenQuota::removals() const {
   std::vector<KeyedRecord> records;
-  for (const auto& [job, held] : table_.all()) {
+  for (const auto& [job, existing] : table_.all()) {
     const auto state = jobs_.find(job);
-    const std::int64_t age = now_ms_ - held.reserved_ms;
+    const std::int64_t age = now_ms_ - existing.reserved_ms;
     const bool orphan = state && !state->known && age > to_ms(knobs_.quota_orphan_age);
-    const bool forgotten =
-        state && state->known && held.tokens <= 0 && age > to_ms(knobs_.quota_finished_age);
-    if ((orphan || forgotten) && records.size() < kMostCorrections) {
+    const bool finished_long_ago =
+        state && state->known && existing.tokens <= 0 && age > to_ms(knobs_.quota_finished_age);
+    if ((orphan || finished_long_ago) && records.size() < kMaxCorrections) {
       records.push_back(reservation_removal(route_name_, job));
     }
   }
