--- a/src/routing/replica_pace.cpp
+++ b/src/routing/replica_pace.cpp
@@ -89,7 +89,8 @@
   const double limit = std::log(knobs_.pace_limit);
   known.stated = std::clamp(std::log(factor), -limit, limit);
   known.stated_at = now;
-  // Only deviations from the long-term level matter: a constant value carries no information.
+  // Only deviations from the long-term level count: a constant value says nothing about the
+  // present.
   const double most = 1.0 / knobs_.pace_memory_runs;
   known.stated_usually += std::clamp(known.stated - known.stated_usually, -most, most);
 }
--- a/src/routing/slot_request.cpp
+++ b/src/routing/slot_request.cpp
@@ -5,7 +5,8 @@
 namespace dockpoint {
 namespace {
 
-/// First byte of a slot request; no other message between nodes, all MessagePack, begins with it.
+/// First byte of a slot request: `true` in MessagePack, with which no other message between nodes
+/// begins.
 constexpr char kSlotRequestTag = '\xc3';
 
 struct SlotRequestWire {
--- a/tests/routing/placement_replay_test.cpp
+++ b/tests/routing/placement_replay_test.cpp
@@ -73,12 +73,12 @@
 
  private:
   void tell_loads(std::int64_t now) {
-    const std::int64_t told = now - pattern_.view_age_ms;
+    const std::int64_t view_time = now - pattern_.view_age_ms;
     std::vector<LoadDigestEntry> entries;
     for (const auto& [id, number] : numbers_) {
       std::uint32_t in_flight = 0;
       for (const auto& [begin, end] : requests_[number]) {
-        in_flight += begin <= told && told < end ? 1 : 0;
+        in_flight += begin <= view_time && view_time < end ? 1 : 0;
       }
       entries.push_back({directory_.find(id)->key, in_flight, 0, 0, 0});
     }
