--- a/include/dockpoint/log/keyed_watch.hpp
+++ b/include/dockpoint/log/keyed_watch.hpp
@@ -29,8 +29,7 @@
 
 /// State of a watch.
 enum class WatchState {
-  kLoading,    ///< No snapshot has been loaded yet, or the position was compacted and a reload is
-               ///< under way.
+  kLoading,    ///< No snapshot is loaded yet, or a compacted position forces a reload.
   kFollowing,  ///< The last call succeeded, and none is overdue.
   kOverdue,    ///< The pending call is overdue: the log may be silent.
   kLost,       ///< The last call failed.
@@ -42,8 +41,8 @@
 /// Staleness of a node's view of a topic as confirmed by the log. Data from peers may be newer.
 struct WatchAge {
   WatchState state = WatchState::kLoading;
-  Duration age{};  ///< Time since the log last confirmed the view; since the process's start if it
-                   ///< never did.
+  /// Time since the log last confirmed the view; since the process's start if it never did.
+  Duration age{};
 };
 
 /// When a watch reads.
@@ -102,8 +101,7 @@
     bool refresh_requested = false;  ///< Requested after the current read began.
     bool unconfirmed = false;        ///< No call begun after `mark_unconfirmed` has succeeded yet.
     std::uint64_t call = 0;          ///< Number of the pending call, or of the last one.
-    TimePoint
-        next_call_at{};  ///< Delayed after a failure, or after records that others may follow.
+    TimePoint next_call_at{};        ///< Delayed after a failure, or to batch further records.
     int failures = 0;
     TimePoint overdue_at{};    ///< Of the pending call.
     TimePoint answered_at{};   ///< Time of the last successful call.
--- a/include/dockpoint/log/partitioned_log.hpp
+++ b/include/dockpoint/log/partitioned_log.hpp
@@ -59,8 +59,8 @@
   LogOffset end = 0;  ///< End of the partition when it was read.
   LogOffset next =
       0;  ///< Offset of the next read if not directly after the last record; 0: directly after it.
-  Duration age{};  ///< Age of the data: the answer may come from a node that relays what it read
-                   ///< earlier.
+  /// Age of the data: the answer may come from a node that relays what it read earlier.
+  Duration age{};
 };
 
 /// Time allowed for a read.
--- a/include/dockpoint/routing/engine_table.hpp
+++ b/include/dockpoint/routing/engine_table.hpp
@@ -30,7 +30,7 @@
   TimePoint reported_at{};
   int online_in_flight = 0;  ///< Sent by this node.
   int batch_in_flight = 0;   ///< Sent by this node.
-  /// Online sequences sent by other nodes: the last report's count minus this node's own.
+  /// Online sequences sent by other nodes: the last report's count minus this node's recent peak.
   int online_of_other_nodes = 0;
   int online_peak = 0;           ///< Peak of this node's requests since the last report.
   int previous_online_peak = 0;  ///< The same between the last two reports.
