--- a/include/dockpoint/log/partitioned_log.hpp
+++ b/include/dockpoint/log/partitioned_log.hpp
@@ -57,8 +57,8 @@
   LogStatus status = LogStatus::kUnknown;
   std::vector<KeyedRecord> records;
   LogOffset end = 0;  ///< End of the partition when it was read.
-  LogOffset next =
-      0;  ///< Offset of the next read if not directly after the last record; 0: directly after it.
+  /// Offset of the next read if not directly after the last record; 0: directly after it.
+  LogOffset next = 0;
   /// Age of the data: the answer may come from a node that relays what it read earlier.
   Duration age{};
 };
