--- a/include/dockpoint/admission/request_quarantine.hpp
+++ b/include/dockpoint/admission/request_quarantine.hpp
@@ -83,7 +83,7 @@
   /// Recomputes which crashes count against which request.
   void attribute_crashes();
   /// Evicts the request with the fewest crashes (counted up to the quarantine limit); among equals
-  /// the one with the oldest newest event.
+  /// the one whose most recent event is oldest.
   void evict_one();
 
   const Knobs& knobs_;
