--- a/include/dockpoint/membership/cell.hpp
+++ b/include/dockpoint/membership/cell.hpp
@@ -20,8 +20,9 @@
 /// See the top of this file. Free of I/O and clocks; not thread-safe.
 class Cell {
  public:
-  /// Larger cells would cost more than the relays of the whole fleet. They arise where there are
-  /// many nodes and few replicas; there the fleet is not divided and all nodes share the replicas.
+  /// Limit on the nodes of a cell, this one included. Larger cells would cost more than the relays
+  /// of the whole fleet. They arise where there are many nodes and few replicas; there the fleet is
+  /// not divided and all nodes share the replicas.
   static constexpr std::size_t kMaximumMembers = 48;
 
   /// @param node,zone name and zone of this node.
--- a/tests/membership/crash_report_spread_test.cpp
+++ b/tests/membership/crash_report_spread_test.cpp
@@ -12,6 +12,7 @@
 namespace {
 
 constexpr RequestFingerprint kRequest{0x9c41d07be2a35f68, 0x3e1b07a260c9f2a4};
+/// Time step of the simulation.
 constexpr Duration kRound = std::chrono::milliseconds(50);
 
 /// Longest time from the last crash until every connected node has quarantined the request.
