--- a/include/dockpoint/batch/job_ledger.hpp
+++ b/include/dockpoint/batch/job_ledger.hpp
@@ -37,7 +37,8 @@
   std::string path;               ///< Path the job was submitted to.
   std::int64_t submitted_ms = 0;  ///< Unix time.
   std::vector<BatchItem> items;
-  std::string tenant{};  ///< Submitting tenant, charged for the job's items; may be empty.
+  std::string
+      tenant{};  ///< Tenant that submitted the job and as which its items run; may be empty.
 };
 
 /// @return the internal id of a tenant's job. Jobs of different tenants never share an id, so no
--- a/src/batch/group_member.cpp
+++ b/src/batch/group_member.cpp
@@ -105,8 +105,8 @@
   for (const int partition : assigned) {
     const auto found = owned_.find(partition);
     if (found != owned_.end() && found->second.revoked) {
-      drop_partition(
-          partition);  // Reassigned before it was released, so no other node has owned it.
+      // Reassigned before it was released, so no other node has owned it.
+      drop_partition(partition);
     }
     if (!owned_.contains(partition)) {
       owned_[partition] = {generation_, false, {}};
