--- a/src/gateway/batch_executor.cpp
+++ b/src/gateway/batch_executor.cpp
@@ -17,7 +17,7 @@
 
 /// @return whether `left` can better wait than `right`: what is late already, then what is due
 /// last.
-bool yields_before(const ItemRun& left, const ItemRun& right, std::int64_t now_ms) {
+bool preempted_before(const ItemRun& left, const ItemRun& right, std::int64_t now_ms) {
   const bool left_late = left.due().overdue(now_ms);
   const bool right_late = right.due().overdue(now_ms);
   return left_late != right_late ? left_late : left.due().at_ms > right.due().at_ms;
@@ -125,9 +125,9 @@
 
 void BatchExecutor::save_progress(const ItemRef& ref, ItemProgress& progress) {
   PartitionOwner* owner = owner_of(ref.partition);
-  const bool news = progress.produced.text.size() > progress.saved_bytes || progress.restarted ||
-                    progress.produced.failures != progress.saved_failures;
-  if (owner == nullptr || !news) {
+  const bool changed = progress.produced.text.size() > progress.saved_bytes || progress.restarted ||
+                       progress.produced.failures != progress.saved_failures;
+  if (owner == nullptr || !changed) {
     return;
   }
   const ItemCheckpoint added{progress.produced.text.substr(progress.saved_bytes),
@@ -160,8 +160,8 @@
 }
 
 void BatchExecutor::tick(TimePoint now) {
-  if (held_until_ == TimePoint{}) {
-    held_until_ = now + context_.knobs.batch_start_delay;
+  if (start_allowed_at_ == TimePoint{}) {
+    start_allowed_at_ = now + context_.knobs.batch_start_delay;
   }
   const auto runs = runs_;
   for (const auto& run : runs) {
@@ -185,8 +185,8 @@
     return;
   }
   const BatchShare current = share();
-  make_room(current);
-  if (now >= held_until_) {
+  preempt_excess_runs(current);
+  if (now >= start_allowed_at_) {
     start_waiting(now, current);
   }
 }
@@ -236,7 +236,7 @@
   const std::int64_t now_ms = net::unix_now_ms();
   std::shared_ptr<ItemRun> chosen;
   for (const auto& run : runs_) {
-    if (run->replica() == replica && (!chosen || yields_before(*run, *chosen, now_ms))) {
+    if (run->replica() == replica && (!chosen || preempted_before(*run, *chosen, now_ms))) {
       chosen = run;
     }
   }
@@ -251,7 +251,7 @@
   return true;
 }
 
-void BatchExecutor::make_room(const BatchShare& share) {
+void BatchExecutor::preempt_excess_runs(const BatchShare& share) {
   std::vector<std::shared_ptr<ItemRun>> non_urgent;
   std::copy_if(runs_.begin(), runs_.end(), std::back_inserter(non_urgent),
                [&](const auto& run) { return !is_urgent(run->due()); });
@@ -387,7 +387,7 @@
   }
 }
 
-void BatchExecutor::run_over(const std::shared_ptr<ItemRun>& run) {
+void BatchExecutor::remove_run(const std::shared_ptr<ItemRun>& run) {
   runs_.erase(run);
 }
 
--- a/src/gateway/batch_executor.hpp
+++ b/src/gateway/batch_executor.hpp
@@ -98,7 +98,7 @@
   bool has_expired(const ItemRef& ref, std::int64_t now_ms) const;
   void start_waiting(TimePoint now, const BatchShare& share);
   /// Breaks runs off that have time to spare if online requests need their slots.
-  void make_room(const BatchShare& share);
+  void preempt_excess_runs(const BatchShare& share);
   /// @return whether the item was dealt with; otherwise no replica has room.
   /// @return whether the item is kept from the replicas since it crashes them.
   bool quarantined(const LedgerJob& job, const BatchItem& item, const ItemRef& ref, TimePoint now);
@@ -112,7 +112,7 @@
   void enqueue(const ItemRef& ref);
   void retry(const ItemRef& ref, Duration delay, TimePoint now);
   void complete(const ItemRef& ref, bool succeeded, std::string text);
-  void run_over(const std::shared_ptr<ItemRun>& run);
+  void remove_run(const std::shared_ptr<ItemRun>& run);
   PartitionOwner* owner_of(int partition) const;
   const LedgerJob* job_of(const ItemRef& ref) const;
 
@@ -124,7 +124,7 @@
   std::multimap<TimePoint, ItemRef> delayed_;
   std::map<ItemRef, ItemProgress> progress_;
   std::set<std::shared_ptr<ItemRun>> runs_;
-  TimePoint held_until_{};  ///< No item starts before; set by the first round.
+  TimePoint start_allowed_at_{};  ///< No item starts before; set by the first round.
   TimePoint next_expiry_check_{};
   TimePoint next_checkpoint_{};
 };
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -79,7 +79,7 @@
   const int partition = job_partition(call.job, log_.limits().partitions);
   const PartitionOwner* owner = owner_of(partition);
   const TimePoint now = net::steady_now();
-  if (owner != nullptr && may_answer(now)) {
+  if (owner != nullptr && may_serve_reads(now)) {
     read({exchange, call, now + std::max(call.wait, kLoadWait)});
   } else if (owner == nullptr && !forwarded) {
     forward(exchange, call, partition);
@@ -94,18 +94,18 @@
   }
 }
 
-bool BatchService::try_answer(const Waiter& waiter, bool last_chance) {
+bool BatchService::try_answer(const Waiter& waiter, bool deadline_reached) {
   const int partition = job_partition(waiter.call.job, log_.limits().partitions);
   const PartitionOwner* owner = owner_of(partition);
-  const LedgerJob* job = owner != nullptr && owner->active() && may_answer(net::steady_now())
+  const LedgerJob* job = owner != nullptr && owner->active() && may_serve_reads(net::steady_now())
                              ? owner->ledger().find(waiter.call.job)
                              : nullptr;
   if (job == nullptr) {
     // Accepted moments ago, perhaps, and not read from the log yet.
-    if (last_chance) {
+    if (deadline_reached) {
       refuse(waiter.exchange);
     }
-    return last_chance;
+    return deadline_reached;
   }
   if (waiter.call.operation == JobOperation::kItemBody) {
     const auto& items = job->job.items;
@@ -120,7 +120,7 @@
     return true;
   }
   const ResultPage page = page_of(*job, waiter.call.position);
-  const bool waits = waiter.call.wait > Duration{} && !job->complete() && !last_chance;
+  const bool waits = waiter.call.wait > Duration{} && !job->complete() && !deadline_reached;
   if (page.count == 0 && waits) {
     return false;
   }
--- a/src/gateway/batch_service.hpp
+++ b/src/gateway/batch_service.hpp
@@ -89,9 +89,9 @@
   void end_job(const net::ExchangePtr& exchange, const std::string& job);
   void read(Waiter waiter);
   /// @return whether what this node holds of its partitions may be told.
-  bool may_answer(TimePoint now) const { return lease_valid(now) || !peers_reach_log_; }
+  bool may_serve_reads(TimePoint now) const { return lease_valid(now) || !peers_reach_log_; }
   /// @return whether the read was answered.
-  bool try_answer(const Waiter& waiter, bool last_chance);
+  bool try_answer(const Waiter& waiter, bool deadline_reached);
   void serve_waiters(const std::string& job);
   void forward(const net::ExchangePtr& exchange, const JobCall& call, int partition);
   void refresh_owners();
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -67,19 +67,19 @@
   ReplicaProbe::start(context_.loop, suspicion.address, context_.knobs.crash_probe_timeout,
                       [this, life = life_, replica](ProbeResult result) {
                         if (life->alive) {
-                          take_probe(replica, result);
+                          handle_probe_result(replica, result);
                         }
                       });
 }
 
-void CrashWatch::take_probe(const std::string& replica, ProbeResult result) {
+void CrashWatch::handle_probe_result(const std::string& replica, ProbeResult result) {
   const auto found = suspicions_.find(replica);
   if (found == suspicions_.end()) {
     return;
   }
   if (result == ProbeResult::kUnknown &&
       found->second.attempts < context_.knobs.crash_probe_attempts) {
-    probe_again(replica);
+    schedule_probe(replica);
     return;
   }
   const Suspicion suspicion = std::move(found->second);
@@ -97,7 +97,7 @@
   }
 }
 
-void CrashWatch::probe_again(const std::string& replica) {
+void CrashWatch::schedule_probe(const std::string& replica) {
   const auto timer = std::make_shared<boost::asio::steady_timer>(context_.loop);
   timer->expires_after(context_.knobs.crash_probe_interval);
   timer->async_wait([this, life = life_, replica, timer](const boost::system::error_code& error) {
@@ -150,9 +150,9 @@
     const auto same_request = [&](const CrashEvidence& other) {
       return other.request == evidence.request;
     };
-    const auto told = static_cast<std::size_t>(
+    const auto included = static_cast<std::size_t>(
         std::count_if(report.evidence.begin(), report.evidence.end(), same_request));
-    if (told < context_.knobs.crash_limit) {
+    if (included < context_.knobs.crash_limit) {
       // Nobody else may have all the evidence together.
       spread_.send_to_all(evidence.request, now);
       log_.save(evidence.request, quarantine_.report(evidence.request), now);
--- a/src/gateway/crash_watch.hpp
+++ b/src/gateway/crash_watch.hpp
@@ -72,8 +72,8 @@
   };
 
   void probe(const std::string& replica);
-  void take_probe(const std::string& replica, ProbeResult result);
-  void probe_again(const std::string& replica);
+  void handle_probe_result(const std::string& replica, ProbeResult result);
+  void schedule_probe(const std::string& replica);
   void count(const CrashEvidence& evidence, const std::string& replica, TimePoint now);
   /// Takes evidence that another node, or the log, has told.
   void merge(const CrashReport& report, const std::string& source, TimePoint now);
--- a/src/gateway/item_run.cpp
+++ b/src/gateway/item_run.cpp
@@ -18,7 +18,7 @@
 constexpr int kItemImpossible = 422;
 
 /// Pause before an item runs again that a replica had no room for.
-constexpr Duration kNoRoomPause = std::chrono::milliseconds(150);
+constexpr Duration kRetryPause = std::chrono::milliseconds(150);
 
 }  // namespace
 
@@ -45,13 +45,13 @@
 
 bool ItemRun::on_head(const net::ResponseHead& head) {
   const TimePoint now = net::steady_now();
-  const std::optional<ReplicaAnswer> answer = attempt_.take_head(head, item_id_, now);
+  const std::optional<ReplicaAnswer> answer = attempt_.handle_head(head, item_id_, now);
   if (!answer) {
     return false;
   }
   last_progress_ = now;
   status_ = head.status;
-  turned_away_ = answer->not_run || answer->wrong_replica;
+  rejected_ = answer->not_run || answer->wrong_replica;
   if (status_ / 100 == 2) {
     context_.selector.note_prompt(attempt_.replica(), info_.prompt, now);
   }
@@ -60,13 +60,13 @@
 
 void ItemRun::on_body(std::string_view bytes) {
   last_progress_ = net::steady_now();
-  if (status_ / 100 == 2 && !turned_away_) {
-    attempt_.take_stream(bytes, last_progress_);
-    framer_.feed(bytes, [this](const StreamEvent& event) { take_event(event); });
+  if (status_ / 100 == 2 && !rejected_) {
+    attempt_.observe_stream(bytes, last_progress_);
+    framer_.feed(bytes, [this](const StreamEvent& event) { handle_event(event); });
   }
 }
 
-void ItemRun::take_event(const StreamEvent& event) {
+void ItemRun::handle_event(const StreamEvent& event) {
   ItemCheckpoint& kept = progress().produced;
   if (!event.id || broken_sequence_) {
     return;
@@ -88,17 +88,17 @@
 void ItemRun::on_complete() {
   const auto self = shared_from_this();
   const TimePoint now = net::steady_now();
-  const bool failed = !turned_away_ && status_ == kItemFailed;
+  const bool failed = !rejected_ && status_ == kItemFailed;
   attempt_.signal(failed ? ReplicaSignal::kFailed : ReplicaSignal::kAnswered, now);
-  if (status_ / 100 == 2 && !turned_away_) {
+  if (status_ / 100 == 2 && !rejected_) {
     attempt_.note_pace(now);
   }
   attempt_.end();
   ItemProgress& kept = progress();
-  if (turned_away_) {
+  if (rejected_) {
     context_.metrics.count_item("no_room");
-    executor_.run_over(self);
-    executor_.retry(ref_, kNoRoomPause, now);
+    executor_.remove_run(self);
+    executor_.retry(ref_, kRetryPause, now);
     return;
   }
   if (status_ / 100 == 2) {
@@ -108,7 +108,7 @@
       return;
     }
     context_.metrics.count_item("succeeded");
-    executor_.run_over(self);
+    executor_.remove_run(self);
     executor_.complete(ref_, true, std::move(kept.produced.text));
     return;
   }
@@ -121,11 +121,11 @@
   context_.metrics.count_item("failed");
   spdlog::info("batch: item failed job={} item={} status={} failures={}/{}", ref_.job, item_id_,
                status_, kept.produced.failures, attempts_);
-  executor_.run_over(self);
+  executor_.remove_run(self);
   if (status_ == kItemImpossible || kept.produced.failures >= attempts_) {
     executor_.complete(ref_, false, {});
   } else {
-    executor_.retry(ref_, kNoRoomPause, now);
+    executor_.retry(ref_, kRetryPause, now);
   }
 }
 
@@ -134,7 +134,7 @@
   const bool not_sent = failure == net::CallFailure::kNotSent;
   attempt_.signal(not_sent ? ReplicaSignal::kUnreachable : ReplicaSignal::kBroken, now);
   if (!not_sent && failure != net::CallFailure::kMalformed) {
-    tell_crash_watch(false);
+    report_to_crash_watch(false);
   }
   interrupted(now, "the connection ended");
 }
@@ -150,11 +150,11 @@
     spdlog::info("batch: run interrupted job={} item={} events={} why=\"{}\"", ref_.job, item_id_,
                  kept.produced.last_event.value_or(0), why);
   }
-  executor_.run_over(self);
-  executor_.retry(ref_, kNoRoomPause * std::min(kept.interruptions, 8), now);
+  executor_.remove_run(self);
+  executor_.retry(ref_, kRetryPause * std::min(kept.interruptions, 8), now);
 }
 
-void ItemRun::tell_crash_watch(bool replica_ended) {
+void ItemRun::report_to_crash_watch(bool replica_ended) {
   const auto content = executor_.fingerprint(ref_);
   if (!content || context_.crash_watch == nullptr) {
     return;
@@ -168,7 +168,7 @@
 
 void ItemRun::tick(TimePoint now) {
   if (context_.replicas.incarnation_ended(attempt_.replica())) {
-    tell_crash_watch(true);
+    report_to_crash_watch(true);
     interrupted(now, "the replica has started again");
   } else if (now - last_progress_ > context_.knobs.item_silence) {
     attempt_.signal(ReplicaSignal::kBroken, now);
--- a/src/gateway/item_run.hpp
+++ b/src/gateway/item_run.hpp
@@ -30,10 +30,10 @@
   void on_failure(net::CallFailure failure) override;
 
  private:
-  void take_event(const StreamEvent& event);
+  void handle_event(const StreamEvent& event);
   void interrupted(TimePoint now, const char* why);
   /// The run broke. @param replica_ended whether it is known that its replica has ended.
-  void tell_crash_watch(bool replica_ended);
+  void report_to_crash_watch(bool replica_ended);
   ItemProgress& progress();
 
   BatchExecutor& executor_;
@@ -46,7 +46,7 @@
   ReplicaAttempt attempt_;
   TimePoint last_progress_{};
   int status_ = 0;
-  bool turned_away_ = false;
+  bool rejected_ = false;
   bool broken_sequence_ = false;  ///< An event is missing between what is kept and what came.
   EventFramer framer_;
 };
--- a/src/gateway/job_submissions.cpp
+++ b/src/gateway/job_submissions.cpp
@@ -61,8 +61,8 @@
   bool may_write = false;  ///< The job may be appended.
   bool reserved = false;   ///< The limit leaves room for it.
   bool unknown = false;    ///< An append may have been done without an answer.
-  bool calling = false;
-  bool over = false;
+  bool append_in_flight = false;
+  bool finished = false;
   int forwards_left = 0;
   bool forwarding = false;                ///< Another node has the job and has not answered.
   std::optional<QuotaAnswer> over_limit;  ///< This node found no room; the other one may yet.
@@ -72,7 +72,7 @@
 
   bool written() const { return next == appends.size(); }
   /// @return whether the log may hold the job.
-  bool may_run() const { return written() || unknown || calling || forwarding; }
+  bool may_run() const { return written() || unknown || append_in_flight || forwarding; }
 };
 
 JobSubmissions::JobSubmissions(GatewayContext& context, PartitionedLog& log,
@@ -110,7 +110,7 @@
                job->items.size(), submission->tokens, submission->partition.partition, route.name);
   submissions_.push_back(submission);
   reserve(submission, route);
-  if (submission->may_write && !submission->over) {
+  if (submission->may_write && !submission->finished) {
     append(submission);
   }
   forward_if_due(submission, exchange->received());
@@ -120,7 +120,8 @@
   const Duration waited = now - submission->exchange->received();
   const bool doubtful = !log_reachable_ || submission->failures > 0 ||
                         waited >= context_.knobs.submission_forward_delay;
-  if (submission->over || submission->forwarding || submission->forwards_left <= 0 || !doubtful) {
+  if (submission->finished || submission->forwarding || submission->forwards_left <= 0 ||
+      !doubtful) {
     return;
   }
   const Duration wait = submission->deadline - now - kForwardMargin;
@@ -151,20 +152,20 @@
       wait + kForwardMargin,
       [this, alive = alive_, submission](const net::SimpleCall::Outcome& outcome) {
         if (*alive) {
-          take_forwarded_answer(submission, outcome);
+          handle_forwarded_answer(submission, outcome);
         }
       });
 }
 
-void JobSubmissions::take_forwarded_answer(const SubmissionPtr& submission,
-                                           const net::SimpleCall::Outcome& outcome) {
+void JobSubmissions::handle_forwarded_answer(const SubmissionPtr& submission,
+                                             const net::SimpleCall::Outcome& outcome) {
   submission->forwarding = false;
   const bool not_sent = outcome.failure == net::CallFailure::kNotSent;
   const int status = outcome.failure ? 0 : outcome.head.status;
   // The other node gives these only where nothing can have been written.
   const bool not_written = not_sent || status == 503 || status == 429;
   submission->unknown = submission->unknown || !not_written;
-  if (submission->over) {
+  if (submission->finished) {
     return;
   }
   if (status == 202) {
@@ -191,8 +192,8 @@
       tick_quota(route, submission->exchange->received())
           .reserve({submission->job, submission->tokens, submission->deadline, submission->tenant},
                    [this, alive = alive_, submission](const QuotaAnswer& answer) {
-                     if (*alive && !submission->over) {
-                       take_quota_answer(submission, answer);
+                     if (*alive && !submission->finished) {
+                       handle_quota_answer(submission, answer);
                      }
                    });
   submission->may_write = submission->may_write || start == QuotaStart::kProceed;
@@ -211,7 +212,8 @@
   return *quota;
 }
 
-void JobSubmissions::take_quota_answer(const SubmissionPtr& submission, const QuotaAnswer& answer) {
+void JobSubmissions::handle_quota_answer(const SubmissionPtr& submission,
+                                         const QuotaAnswer& answer) {
   switch (answer.verdict) {
     case QuotaVerdict::kReserved:
       submission->reserved = true;
@@ -231,13 +233,13 @@
 }
 
 void JobSubmissions::append(const SubmissionPtr& submission) {
-  submission->calling = true;
+  submission->append_in_flight = true;
   log_.append(submission->partition, submission->appends[submission->next], std::nullopt,
               [this, alive = alive_, submission](const AppendOutcome& outcome) {
                 if (!*alive) {
                   return;
                 }
-                submission->calling = false;
+                submission->append_in_flight = false;
                 if (outcome.status == LogStatus::kOk) {
                   ++submission->next;
                   if (submission->written()) {
@@ -254,7 +256,7 @@
 }
 
 void JobSubmissions::accept_if_complete(const SubmissionPtr& submission) {
-  if (submission->written() && submission->reserved && !submission->over) {
+  if (submission->written() && submission->reserved && !submission->finished) {
     submission->exchange->respond(202, {}, {});
     finish(submission, 202);
   }
@@ -298,7 +300,7 @@
 }
 
 void JobSubmissions::finish(const SubmissionPtr& submission, int status) {
-  submission->over = true;
+  submission->finished = true;
   const Duration took = net::steady_now() - submission->exchange->received();
   spdlog::info("batch: job {} job={} status={} mayBeInLog={} tookMs={}",
                status == 202 ? "accepted" : "not accepted", submission->job, status,
@@ -311,16 +313,16 @@
   tick_quotas(now);
   const auto submissions = submissions_;
   for (const SubmissionPtr& submission : submissions) {
-    if (submission->over) {
+    if (submission->finished) {
       continue;
     }
     if (submission->exchange->answered()) {
-      submission->over = true;  // The caller has gone.
+      submission->finished = true;  // The caller has gone.
       std::erase(submissions_, submission);
     } else if (now >= submission->deadline) {
       give_up(submission);
     } else {
-      const bool retry_due = !submission->calling && now >= submission->retry_at;
+      const bool retry_due = !submission->append_in_flight && now >= submission->retry_at;
       if (submission->may_write && !submission->written() && retry_due) {
         append(submission);
       }
--- a/src/gateway/job_submissions.hpp
+++ b/src/gateway/job_submissions.hpp
@@ -56,14 +56,14 @@
   TokenQuota& tick_quota(const RouteConfig& route, TimePoint now);
   TokenQuota& quota_of(const std::string& route);
   void reserve(const SubmissionPtr& submission, const RouteConfig& route);
-  void take_quota_answer(const SubmissionPtr& submission, const QuotaAnswer& answer);
+  void handle_quota_answer(const SubmissionPtr& submission, const QuotaAnswer& answer);
   void append(const SubmissionPtr& submission);
   /// Passes the job on, if that is due and some node reaches the log.
   void forward_if_due(const SubmissionPtr& submission, TimePoint now);
   /// @param wait how long the peer may take.
   void forward(const SubmissionPtr& submission, const Address& peer, Duration wait);
-  void take_forwarded_answer(const SubmissionPtr& submission,
-                             const net::SimpleCall::Outcome& outcome);
+  void handle_forwarded_answer(const SubmissionPtr& submission,
+                               const net::SimpleCall::Outcome& outcome);
   void accept_if_complete(const SubmissionPtr& submission);
   /// Ends a submission that cannot be completed, with a promise only where it is true.
   void give_up(const SubmissionPtr& submission);
--- a/src/gateway/online_call.cpp
+++ b/src/gateway/online_call.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// Output that a caller has not taken yet holds the replica up beyond this, in bytes.
-constexpr std::size_t kOutputLimit = 256 * 1024;
+constexpr std::size_t kMaxPendingOutput = 256 * 1024;
 
 /// A request without a limit of its own is held no longer than this.
 constexpr Duration kDefaultTimeout = std::chrono::seconds(60);
@@ -105,10 +105,10 @@
   sent_at_ = now;
   last_progress_ = now;
   head_seen_ = false;
-  turned_away_ = false;
+  rejected_ = false;
   streaming_ = false;
-  held_up_ = false;
-  silence_told_ = false;
+  backpressured_ = false;
+  silence_reported_ = false;
   body_.clear();
   framer_.discard_partial();
   ++sends_;
@@ -140,7 +140,7 @@
 
 bool OnlineCall::on_head(const net::ResponseHead& head) {
   const TimePoint now = net::steady_now();
-  const std::optional<ReplicaAnswer> answer = attempt_.take_head(head, info_.id, now);
+  const std::optional<ReplicaAnswer> answer = attempt_.handle_head(head, info_.id, now);
   if (!answer) {
     spdlog::warn("online: answer of another request skipped id={} replica={} status={}", info_.id,
                  attempt_.replica(), head.status);
@@ -149,9 +149,9 @@
   head_seen_ = true;
   last_progress_ = now;
   head_ = head;
-  turned_away_ = answer->not_run || answer->wrong_replica;
+  rejected_ = answer->not_run || answer->wrong_replica;
   const bool success = head.status / 100 == 2;
-  if (!turned_away_ && success) {
+  if (!rejected_ && success) {
     context_.selector.note_prompt(attempt_.replica(), info_.prompt, now);
     if (route_.kind == RouteKind::kStreaming && answer->genuine) {
       streaming_ = begin_stream(head);
@@ -176,20 +176,20 @@
     body_.append(bytes);
     return;
   }
-  attempt_.take_stream(bytes, last_progress_);
+  attempt_.observe_stream(bytes, last_progress_);
   const auto self = shared_from_this();
   if (history_.resumable) {
-    framer_.feed(bytes, [this](const StreamEvent& event) { pass_event(event); });
+    framer_.feed(bytes, [this](const StreamEvent& event) { forward_event(event); });
   } else {
     exchange_->write(bytes);
   }
-  if (!finished_ && attempt_.call() && exchange_->pending_output() > kOutputLimit) {
-    held_up_ = true;
+  if (!finished_ && attempt_.call() && exchange_->pending_output() > kMaxPendingOutput) {
+    backpressured_ = true;
     attempt_.call()->pause_reading();
   }
 }
 
-void OnlineCall::pass_event(const StreamEvent& event) {
+void OnlineCall::forward_event(const StreamEvent& event) {
   if (event.id && last_event_ && *event.id <= *last_event_) {
     return;  // The caller has it from the run before.
   }
@@ -208,18 +208,19 @@
 void OnlineCall::on_complete() {
   const auto self = shared_from_this();
   const TimePoint now = net::steady_now();
-  attempt_.signal(tells_failure() ? ReplicaSignal::kFailed : ReplicaSignal::kAnswered, now);
-  if (turned_away_) {
+  attempt_.signal(replica_reported_failure() ? ReplicaSignal::kFailed : ReplicaSignal::kAnswered,
+                  now);
+  if (rejected_) {
     end_attempt();
     after_failure(AttemptFailure::kNotRun, now);
     return;
   }
   context_.selector.note_service_time(service_, now - sent_at_);
-  if (head_.status / 100 == 2 && !held_up_) {
+  if (head_.status / 100 == 2 && !backpressured_) {
     attempt_.note_pace(now);
   }
   if (!streaming_) {
-    complete_whole();
+    complete_buffered();
     return;
   }
   if (history_.resumable && !framer_.at_boundary()) {
@@ -232,7 +233,7 @@
   finish("answered", "stream complete");
 }
 
-void OnlineCall::complete_whole() {
+void OnlineCall::complete_buffered() {
   const TimePoint now = net::steady_now();
   const bool success = head_.status / 100 == 2;
   if (exchange_->answered()) {
@@ -271,7 +272,7 @@
       "afterMs={}",
       info_.id, fingerprint().hex(), attempt_.replica(), static_cast<int>(failure), head_seen_,
       attempt_.call() && attempt_.call()->reused(), to_ms(now - sent_at_));
-  const bool not_run = not_sent || (turned_away_ && head_seen_);
+  const bool not_run = not_sent || (rejected_ && head_seen_);
   if (!not_run && failure != net::CallFailure::kMalformed && context_.crash_watch != nullptr) {
     context_.crash_watch->run_broken(fingerprint(), TrafficClass::kOnline, attempt_.replica());
   }
@@ -303,7 +304,7 @@
     case NextStep::kRetry:
     case NextStep::kResume:
       if (quarantined(now)) {
-        give_up_quarantined(now);
+        abort_quarantined(now);
       } else {
         send(now);
       }
@@ -331,13 +332,13 @@
     if (context_.crash_watch != nullptr) {
       context_.crash_watch->replica_ended(fingerprint(), TrafficClass::kOnline, attempt_.replica());
     }
-    move_on("the replica has started again", now);
+    fail_over("the replica has started again", now);
   } else if (attempt_.under_way()) {
-    watch_silence(now);
+    check_silence(now);
   }
 }
 
-void OnlineCall::watch_silence(TimePoint now) {
+void OnlineCall::check_silence(TimePoint now) {
   const Duration silence = now - last_progress_;
   const Duration objective = head_seen_ ? route_.gap_target : route_.target;
   const Duration limit =
@@ -345,16 +346,16 @@
   if (silence < limit) {
     return;
   }
-  if (!may_move_on()) {
-    if (!std::exchange(silence_told_, true)) {
+  if (!may_fail_over()) {
+    if (!std::exchange(silence_reported_, true)) {
       attempt_.signal(ReplicaSignal::kSilent, now);
     }
     return;
   }
-  move_on("the replica is silent", now);
+  fail_over("the replica is silent", now);
 }
 
-void OnlineCall::move_on(const char* why, TimePoint now) {
+void OnlineCall::fail_over(const char* why, TimePoint now) {
   spdlog::warn("online: attempt given up id={} replica={} silentMs={} why=\"{}\"", info_.id,
                attempt_.replica(), to_ms(now - last_progress_), why);
   attempt_.signal(ReplicaSignal::kBroken, now);
@@ -363,18 +364,18 @@
                 now);
 }
 
-bool OnlineCall::may_move_on() const {
+bool OnlineCall::may_fail_over() const {
   const bool attempts_left = history_.runs_possible + 1 < history_.attempts_allowed;
   const bool repeatable = head_seen_ ? streaming_ && history_.resumable : history_.repeatable;
   return attempts_left && repeatable;
 }
 
-bool OnlineCall::tells_failure() const {
-  return !turned_away_ && (head_.status == kInternalError || head_.status == kBadGateway);
+bool OnlineCall::replica_reported_failure() const {
+  return !rejected_ && (head_.status == kInternalError || head_.status == kBadGateway);
 }
 
 void OnlineCall::expire(TimePoint /*now*/) {
-  const bool sent = attempt_.call() && attempt_.call()->sent() && !turned_away_;
+  const bool sent = attempt_.call() && attempt_.call()->sent() && !rejected_;
   end_attempt();
   if (exchange_->answered()) {
     break_off("time is up within the answer");
@@ -411,7 +412,7 @@
   return true;
 }
 
-void OnlineCall::give_up_quarantined(TimePoint now) {
+void OnlineCall::abort_quarantined(TimePoint now) {
   if (exchange_->answered()) {
     break_off("replicas ended while they ran it");
   } else if (history_.runs_possible > 0) {
@@ -449,8 +450,8 @@
   if (sends_ > 0 || info_.last_event_id) {
     return false;
   }
-  const OverloadInput question{route_.target, deadline_ - now, choice.expected_wait};
-  const auto pause = proxy_.overload_.refuse(route_.name, question, hash64(info_.id));
+  const OverloadInput input{route_.target, deadline_ - now, choice.expected_wait};
+  const auto pause = proxy_.overload_.refuse(route_.name, input, hash64(info_.id));
   if (pause) {
     load_at_choice_ = choice.replica->load(now);
     slots_at_choice_ = choice.replica->record.slots;
@@ -460,9 +461,9 @@
 }
 
 void OnlineCall::refuse(const char* why) {
-  const double place = fraction_of(hash64(info_.id));
+  const double jitter = fraction_of(hash64(info_.id));
   refuse(why, context_.knobs.retry_after_minimum +
-                  std::chrono::duration_cast<Duration>(context_.knobs.retry_after_spread * place));
+                  std::chrono::duration_cast<Duration>(context_.knobs.retry_after_spread * jitter));
 }
 
 void OnlineCall::refuse(const char* why, Duration pause) {
--- a/src/gateway/online_call.hpp
+++ b/src/gateway/online_call.hpp
@@ -38,8 +38,8 @@
   void on_caller_gone();
   void on_caller_drained();
   bool begin_stream(const net::ResponseHead& head);
-  void pass_event(const StreamEvent& event);
-  void complete_whole();
+  void forward_event(const StreamEvent& event);
+  void complete_buffered();
   void after_failure(AttemptFailure failure, TimePoint now);
   /// The attempt is over: nothing of it is in flight any more.
   void end_attempt();
@@ -51,7 +51,7 @@
   /// Refuses the request if it crashes replicas. @return whether it was refused.
   bool refuse_quarantined(TimePoint now);
   /// Ends the request, which was quarantined while it was under way.
-  void give_up_quarantined(TimePoint now);
+  void abort_quarantined(TimePoint now);
   /// Counts the request against its tenant's rate limit, or refuses it.
   /// @return whether it was refused.
   bool refuse_over_rate_limit(TimePoint now);
@@ -63,13 +63,13 @@
   /// The request has its final answer.
   void finish(const char* outcome, const char* why);
   void expire(TimePoint now);
-  void watch_silence(TimePoint now);
+  void check_silence(TimePoint now);
   /// Ends the attempt, whose replica will not answer it, and goes on as after a broken connection.
-  void move_on(const char* why, TimePoint now);
+  void fail_over(const char* why, TimePoint now);
   /// @return whether the request may go on at another replica while this one is silent.
-  bool may_move_on() const;
+  bool may_fail_over() const;
   /// @return whether the whole answer that came is the replica's word that it failed.
-  bool tells_failure() const;
+  bool replica_reported_failure() const;
   const char* kind() const;
   /// @return what tells that this request is the same as one before, at any node.
   const RequestFingerprint& fingerprint();
@@ -95,10 +95,10 @@
   ReplicaAttempt attempt_;
   TimePoint sent_at_{};
   bool head_seen_ = false;
-  bool turned_away_ = false;   ///< The replica said that it did not run the request.
-  bool held_up_ = false;       ///< By its caller: the run tells nothing of the replica's pace.
-  bool streaming_ = false;     ///< The answer under way is a stream that is passed on.
-  bool silence_told_ = false;  ///< The directory knows that this attempt is silent.
+  bool rejected_ = false;          ///< The replica said that it did not run the request.
+  bool backpressured_ = false;     ///< By its caller: the run tells nothing of the replica's pace.
+  bool streaming_ = false;         ///< The answer under way is a stream that is passed on.
+  bool silence_reported_ = false;  ///< The directory knows that this attempt is silent.
   net::ResponseHead head_;
   std::string body_;
   EventFramer framer_;
--- a/src/gateway/replica_attempt.cpp
+++ b/src/gateway/replica_attempt.cpp
@@ -22,8 +22,8 @@
   call_ = context_.client.start(endpoint_of(replica.record), std::move(bytes), options, observer);
 }
 
-std::optional<ReplicaAnswer> ReplicaAttempt::take_head(const net::ResponseHead& head,
-                                                       const std::string& id, TimePoint now) {
+std::optional<ReplicaAnswer> ReplicaAttempt::handle_head(const net::ResponseHead& head,
+                                                         const std::string& id, TimePoint now) {
   const ReplicaAnswer answer = context_.protocol.read_answer(head, id);
   if (!answer.belongs) {
     return std::nullopt;
@@ -48,7 +48,7 @@
   }
 }
 
-void ReplicaAttempt::take_stream(std::string_view bytes, TimePoint now) {
+void ReplicaAttempt::observe_stream(std::string_view bytes, TimePoint now) {
   stream_.take(bytes, now);
 }
 
--- a/src/gateway/replica_attempt.hpp
+++ b/src/gateway/replica_attempt.hpp
@@ -28,11 +28,11 @@
   /// Takes the head of an answer: notes the load that it states, and a replica that is not the one
   /// it was sent to.
   /// @param id of the request. @return nothing if the answer belongs to another request.
-  std::optional<ReplicaAnswer> take_head(const net::ResponseHead& head, const std::string& id,
-                                         TimePoint now);
+  std::optional<ReplicaAnswer> handle_head(const net::ResponseHead& head, const std::string& id,
+                                           TimePoint now);
   /// Takes bytes of a stream that is under way: the time between its events tells the replica's
   /// pace.
-  void take_stream(std::string_view bytes, TimePoint now);
+  void observe_stream(std::string_view bytes, TimePoint now);
   /// The run has ended well: tells the directory how fast the replica works.
   void note_pace(TimePoint now);
   /// Tells the directory how it went.
--- a/src/gateway/replica_probe.cpp
+++ b/src/gateway/replica_probe.cpp
@@ -10,7 +10,7 @@
 using ErrorCode = boost::system::error_code;
 
 /// A process that ends may still take a connection, and drops it with the others.
-constexpr Duration kHoldTime = std::chrono::milliseconds(200);
+constexpr Duration kObservationTime = std::chrono::milliseconds(200);
 
 ProbeResult result_of(const ErrorCode& error) {
   const bool refused = error == boost::asio::error::connection_refused ||
@@ -34,13 +34,13 @@
                                  if (failure) {
                                    probe->finish(result_of(failure));
                                  } else {
-                                   probe->hold();
+                                   probe->observe_connection();
                                  }
                                });
 }
 
-void ReplicaProbe::hold() {
-  finish_after(kHoldTime, ProbeResult::kListens);
+void ReplicaProbe::observe_connection() {
+  finish_after(kObservationTime, ProbeResult::kListens);
   socket_.async_read_some(boost::asio::buffer(buffer_),
                           [probe = shared_from_this()](const ErrorCode& closed, std::size_t) {
                             probe->finish(closed ? ProbeResult::kUnknown : ProbeResult::kListens);
--- a/src/gateway/replica_probe.hpp
+++ b/src/gateway/replica_probe.hpp
@@ -32,7 +32,7 @@
 
  private:
   ReplicaProbe(boost::asio::io_context& loop, Done done);
-  void hold();
+  void observe_connection();
   void finish_after(Duration time, ProbeResult result);
   void finish(ProbeResult result);
 
--- a/src/gateway/wait_calibration.cpp
+++ b/src/gateway/wait_calibration.cpp
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-WaitError wait_error(Duration expected, Duration followed) {
-  return {class_of(expected), followed - expected};
+WaitError wait_error(Duration expected, Duration actual) {
+  return {class_of(expected), actual - expected};
 }
 
 }  // namespace dockpoint
--- a/src/gateway/wait_calibration.hpp
+++ b/src/gateway/wait_calibration.hpp
@@ -21,6 +21,6 @@
 /// @param expected wait for a slot at the replica, as the choice of the replica had it.
 /// @param followed time from sending to the first byte of the answer. It holds what a free replica
 /// takes by itself, which is what the class `0` shows.
-WaitError wait_error(Duration expected, Duration followed);
+WaitError wait_error(Duration expected, Duration actual);
 
 }  // namespace dockpoint
--- a/tests/gateway/replica_probe_test.cpp
+++ b/tests/gateway/replica_probe_test.cpp
@@ -22,7 +22,7 @@
   ProbeResult probe() {
     std::optional<ProbeResult> result;
     ReplicaProbe::start(loop, {"127.0.0.1", kPort}, kTimeout,
-                        [&](ProbeResult told) { result = told; });
+                        [&](ProbeResult reported) { result = reported; });
     while (!result) {
       loop.run_one();
     }
