--- a/src/gateway/crash_watch.hpp
+++ b/src/gateway/crash_watch.hpp
@@ -56,7 +56,7 @@
   /// Takes another node's word. @param address of that node, for datagrams.
   void take(const CrashReport& report, const std::string& address, TimePoint now);
   /// Another node may have missed what is decided. @param address of it, for datagrams.
-  void tell_what_is_decided(const std::string& address) { spread_.answer(address); }
+  void send_decisions(const std::string& address) { spread_.answer(address); }
   /// This node has started, or stood still: it may have missed what the others know.
   void catch_up(TimePoint now);
   /// Sends what is due; call several times a second.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -101,7 +101,7 @@
           [this](const CrashReport& report, const std::string& address) {
             crash_watch_.take(report, address, net::steady_now());
           },
-          [this](const std::string& address) { crash_watch_.tell_what_is_decided(address); }),
+          [this](const std::string& address) { crash_watch_.send_decisions(address); }),
       crash_watch_(context_, log_, parts.quarantine_topic,
                    combine_hash(hash64(settings_.node), run_),
                    [this](const std::string& address, const std::string& bytes) {
