--- a/src/gateway/batch_executor.cpp
+++ b/src/gateway/batch_executor.cpp
@@ -12,11 +12,11 @@
 namespace dockpoint {
 namespace {
 
-/// Longest time that a replica is given for an item.
+/// Deadline sent to a replica with an item.
 constexpr Duration kItemDeadline = std::chrono::seconds(60);
 
-/// @return whether `left` can better wait than `right`: what is late already, then what is due
-/// last.
+/// @return whether `left` is preempted before `right`: overdue runs first, then the latest due
+/// time.
 bool preempted_before(const ItemRun& left, const ItemRun& right, std::int64_t now_ms) {
   const bool left_late = left.due().overdue(now_ms);
   const bool right_late = right.due().overdue(now_ms);
@@ -259,7 +259,7 @@
   if (excess == 0) {
     return;
   }
-  spdlog::info("batch: runs make room for online requests count={} running={} allowed={}", excess,
+  spdlog::info("batch: runs preempted by online requests count={} running={} allowed={}", excess,
                runs_.size(), share.non_urgent());
   std::sort(non_urgent.begin(), non_urgent.end(), [](const auto& left, const auto& right) {
     return left->due().at_ms > right->due().at_ms;
@@ -304,7 +304,7 @@
   }
   ReplicaChoice choice = context_.selector.choose(query, now);
   if (choice.replica == nullptr && !query.excluded.empty()) {
-    query.excluded.clear();  // Better where it was interrupted than nowhere.
+    query.excluded.clear();  // Only the replica of the last interrupted run is available.
     choice = context_.selector.choose(query, now);
   }
   if (choice.replica == nullptr) {
--- a/src/gateway/batch_executor.hpp
+++ b/src/gateway/batch_executor.hpp
@@ -16,7 +16,7 @@
 
 class ItemRun;
 
-/// Names one item of a job in a partition of this node.
+/// Identifies one item of a job in a partition of this node.
 struct ItemRef {
   int partition = 0;
   std::string job;
@@ -28,60 +28,60 @@
   }
 };
 
-/// What is known of an item beyond its job: kept between runs, so that a broken one goes on.
+/// Progress of an item, kept between runs so that an interrupted run can be resumed.
 struct ItemProgress {
   ItemCheckpoint produced;
-  std::size_t saved_bytes = 0;  ///< Of the text, in the log.
+  std::size_t saved_bytes = 0;  ///< Bytes of the produced text that the log holds.
   int saved_failures = 0;
-  bool restarted = false;    ///< What the log has of it is void.
-  int interruptions = 0;     ///< In a row; spaces out further runs.
-  std::string last_replica;  ///< That interrupted it.
-  bool quarantined = false;  ///< It crashes replicas, and waits for a further trial.
+  bool restarted = false;    ///< The checkpoint in the log is obsolete.
+  int interruptions = 0;     ///< Consecutive; determine the retry backoff.
+  std::string last_replica;  ///< Replica of the last interrupted or failed run.
+  bool quarantined = false;  ///< Crashes replicas; waits for the quarantine to end.
 
-  /// Forgets what was produced: the item runs from its start.
+  /// Discards the produced output, so that the item runs from its start.
   void restart();
 };
 
 /// Runs batch items of the partitions that this node owns.
 ///
-/// The item whose job is due first runs first, jobs that are overdue last.
-/// Items go only to replicas with room below a share of their slots, and no more of them at once
-/// than BatchShare allows this node; none before a node that has just started can know the load of
-/// the others. A run that breaks, or makes room for online requests, goes on behind its last event,
-/// wherever there is room.
+/// Items run in order of their due times; items that are already overdue come last. An item is sent
+/// only to a replica with fewer occupied slots than the batch limit, and BatchShare limits the
+/// number of concurrent items of this node. A node that has just started waits until it can know
+/// the load of the other nodes. A run that is interrupted, or preempted by online requests, resumes
+/// after its last event at any replica with a free slot.
 ///
-/// Single-threaded; borrows the context. Owners are registered while they are active.
+/// Single-threaded; borrows the context. Partition owners are registered while they are active.
 class BatchExecutor {
  public:
   explicit BatchExecutor(GatewayContext& context);
   ~BatchExecutor();
 
   void add_partition(PartitionOwner& owner);
-  /// Ends all runs of the partition and forgets its items.
+  /// Cancels all runs of the partition and discards its items.
   void remove_partition(int partition);
-  /// Ends all runs of the partition, starts no further one, and writes what they have produced, so
-  /// that the next owner goes on behind it.
+  /// Cancels all runs of the partition, starts no further ones, and checkpoints their output, so
+  /// that the next owner resumes from it.
   void hand_over(int partition);
-  /// Hands all partitions over.
+  /// Calls hand_over() for every partition.
   void hand_over_all();
   void add_job(PartitionOwner& owner, const LedgerJob& job);
   void end_job(int partition, const std::string& job);
 
   void tick(TimePoint now);
 
-  /// Breaks an item off that runs at a replica, the one that can best wait: an online request needs
-  /// its slot. @return whether there was one.
+  /// Preempts the least urgent item that runs at a replica, to free a slot for an online request.
+  /// @return whether an item was preempted.
   bool yield_slot(const std::string& replica);
 
   std::size_t running() const { return runs_.size(); }
-  /// @return items that run or have to run.
+  /// @return number of items that are running, waiting or delayed.
   std::size_t pending() const { return waiting_.size() + delayed_.size() + runs_.size(); }
   bool running_in(int partition) const;
 
  private:
   friend class ItemRun;
 
-  /// Order of items that wait.
+  /// Entry of the queue of waiting items, in order of execution.
   struct Waiting {
     bool overdue = false;
     DueTime due;
@@ -94,16 +94,17 @@
 
   BatchShare share() const;
   bool is_urgent(const DueTime& due) const;
-  /// @return whether the time of an item is over: it may be given up.
+  /// @return whether the retention of an item's job has expired, so that the item may be failed.
   bool has_expired(const ItemRef& ref, std::int64_t now_ms) const;
   void start_waiting(TimePoint now, const BatchShare& share);
-  /// Breaks runs off that have time to spare if online requests need their slots.
+  /// Preempts runs that are not urgent if online requests need their slots.
   void preempt_excess_runs(const BatchShare& share);
-  /// @return whether the item was dealt with; otherwise no replica has room.
-  /// @return whether the item is kept from the replicas since it crashes them.
+  /// @return whether the item is quarantined because it crashes replicas.
   bool quarantined(const LedgerJob& job, const BatchItem& item, const ItemRef& ref, TimePoint now);
-  /// @return what tells that an item is the same as one before, or nothing if it is not known.
+  /// @return the fingerprint of an item's content, or nothing if the item is unknown.
   std::optional<RequestFingerprint> fingerprint(const ItemRef& ref) const;
+  /// Starts or reschedules an item.
+  /// @return whether the item needs no further attempt now; false if no replica has a free slot.
   bool start(const Waiting& entry, TimePoint now);
   const RouteConfig* route_of(const LedgerJob& job, const BatchItem& item) const;
   void give_up_expired();
@@ -117,14 +118,14 @@
   const LedgerJob* job_of(const ItemRef& ref) const;
 
   GatewayContext& context_;
-  const double rounding_;  ///< See FleetLoad.
+  const double rounding_;  ///< See FleetLoad::rounding.
   std::map<int, PartitionOwner*> owners_;
   std::set<int> suspended_;
   std::set<Waiting> waiting_;
   std::multimap<TimePoint, ItemRef> delayed_;
   std::map<ItemRef, ItemProgress> progress_;
   std::set<std::shared_ptr<ItemRun>> runs_;
-  TimePoint start_allowed_at_{};  ///< No item starts before; set by the first round.
+  TimePoint start_allowed_at_{};  ///< No item starts earlier; set by the first tick.
   TimePoint next_expiry_check_{};
   TimePoint next_checkpoint_{};
 };
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -13,21 +13,21 @@
 namespace dockpoint {
 namespace {
 
-/// Most bytes of results in one answer.
+/// Maximum size of the results in one response, in bytes.
 constexpr std::size_t kPageBytes = 1'000'000;
 
-/// Longest time that a read waits for its partition to be loaded.
+/// Minimum time that a read may wait for its partition to be loaded.
 constexpr Duration kLoadWait = std::chrono::milliseconds(800);
 
-/// How long the owners that the log told are believed without a reason to doubt.
+/// Lifetime of cached partition owners.
 constexpr Duration kOwnersLifetime = std::chrono::seconds(4);
-/// Shortest time between two questions for owners.
+/// Minimum interval between two queries for owners.
 constexpr Duration kOwnersInterval = std::chrono::milliseconds(400);
 
-/// Time limit of a call passed on to an owner, beside the time that it may wait there.
+/// Timeout of a call forwarded to an owner, in addition to the call's own wait.
 constexpr Duration kForwardTimeout = std::chrono::milliseconds(1200);
 
-/// @return the address in a member's name, `IP:port#run`.
+/// @return the address part of a member name, `IP:port#run`.
 std::string address_of(const std::string& member) {
   return member.substr(0, member.find('#'));
 }
@@ -36,7 +36,7 @@
   return fmt::format("{}#{:x}", name.control_address, name.run);
 }
 
-/// @return results of `job` from `position` on, as many as one answer holds.
+/// @return the results of `job` from `position` on that fit into one response.
 ResultPage page_of(const LedgerJob& job, std::uint64_t position) {
   ResultPage page{&job, static_cast<std::size_t>(position), 0};
   std::size_t bytes = 0;
@@ -101,7 +101,7 @@
                              ? owner->ledger().find(waiter.call.job)
                              : nullptr;
   if (job == nullptr) {
-    // Accepted moments ago, perhaps, and not read from the log yet.
+    // The job may have been accepted recently and not yet been read from the log.
     if (deadline_reached) {
       refuse(waiter.exchange);
     }
@@ -142,7 +142,7 @@
                 if (!*alive) {
                   return;
                 }
-                spdlog::info("batch: end of job job={} outcome={}", job,
+                spdlog::info("batch: job end written job={} outcome={}", job,
                              static_cast<int>(outcome.status));
                 if (outcome.status == LogStatus::kOk) {
                   exchange->respond(200, {}, {});
@@ -309,7 +309,7 @@
 }
 
 void BatchService::on_job_ended(int partition, const std::string& job) {
-  spdlog::info("batch: job ended by its client job={}", job);
+  spdlog::info("batch: job ended by client job={}", job);
   executor_.end_job(partition, job);
 }
 
@@ -318,7 +318,7 @@
 }
 
 void BatchService::on_partition_fenced(int partition) {
-  spdlog::warn("batch: partition fenced by a newer owner partition={}", partition);
+  spdlog::warn("batch: partition fenced by newer owner partition={}", partition);
   fenced_.push_back(partition);
 }
 
--- a/src/gateway/batch_service.hpp
+++ b/src/gateway/batch_service.hpp
@@ -15,16 +15,16 @@
 
 namespace dockpoint {
 
-/// Names this node among the owners of partitions.
+/// Identity of this node among the partition owners.
 struct BatchMemberName {
-  std::string control_address;  ///< `IP:port` where other nodes pass calls on.
-  std::uint64_t run = 0;        ///< Tells the lives of the process apart.
+  std::string control_address;  ///< `IP:port` to which other nodes forward calls.
+  std::uint64_t run = 0;        ///< Distinguishes incarnations of the process.
 };
 
-/// Batch jobs at one node: takes them from any caller, runs those of the partitions that it owns,
-/// and answers reads, passing those of other partitions on to their owners.
+/// The batch API of one node: accepts jobs from any caller, runs the jobs of the partitions that
+/// the node owns, and answers reads. Reads of other partitions are forwarded to their owners.
 ///
-/// Single-threaded; borrows context and log.
+/// Single-threaded; borrows the context and the log.
 class BatchService : private PartitionOwnerObserver,
                      private GroupMemberObserver,
                      private OwnedJobs {
@@ -33,40 +33,40 @@
                BatchMemberName name, std::uint64_t seed);
   ~BatchService() override;
 
-  /// Takes a job that a caller submits, or that another node passes on.
+  /// Handles a job that a caller submits or that another node forwards.
   /// @param forwarded_wait see JobSubmissions.
   void submit(const net::ExchangePtr& exchange, const RouteConfig& route,
               std::optional<Duration> forwarded_wait) {
     submissions_.submit(exchange, route, forwarded_wait);
   }
-  /// Takes a call about a job.
-  /// @param forwarded it came from another node, and is not passed on again.
+  /// Handles a call about an existing job.
+  /// @param forwarded whether another node forwarded the call; it is not forwarded again.
   void handle(const net::ExchangePtr& exchange, const JobCall& call, bool forwarded);
 
   void tick(TimePoint now);
-  /// Starts no further item, and gives the partitions back when what runs has ended.
+  /// Starts no further items, and hands over the progress of all partitions.
   void drain();
-  /// Gives the partitions back now.
+  /// Leaves the group of partition owners now.
   void leave();
   bool drained() const;
 
-  /// @return whether this node's partitions are certainly its own.
+  /// @return whether this node's lease on its partitions is valid.
   bool lease_valid(TimePoint now) const { return group_.lease_valid(now); }
-  /// Without a valid lease this node answers reads only while no other node reaches the log either:
-  /// otherwise another may own its partitions and have listed more.
+  /// Sets whether any other node reaches the log. Without a valid lease this node answers reads
+  /// only if none does; otherwise another node may own its partitions and have listed more results.
   void set_peers_reach_log(bool reach) { peers_reach_log_ = reach; }
 
-  /// See BatchExecutor.
+  /// See BatchExecutor::yield_slot().
   bool yield_slot(const std::string& replica) { return executor_.yield_slot(replica); }
 
   std::size_t pending_items() const { return executor_.pending(); }
-  /// @return owners by partition, as far as known, for nodes that cannot ask the log.
+  /// @return known owner addresses by partition, for nodes that cannot query the log.
   const std::map<int, std::string>& owner_addresses() const { return owner_addresses_; }
-  /// Takes owners from another node where this one knows none.
+  /// Adds owners that another node knows; existing entries are kept.
   void suggest_owners(const std::map<int, std::string>& owners);
 
  private:
-  /// A read that waits for results.
+  /// A long-polling read that waits for results.
   struct Waiter {
     net::ExchangePtr exchange;
     JobCall call;
@@ -88,9 +88,10 @@
 
   void end_job(const net::ExchangePtr& exchange, const std::string& job);
   void read(Waiter waiter);
-  /// @return whether what this node holds of its partitions may be told.
+  /// @return whether reads may be answered from this node's partitions.
   bool may_serve_reads(TimePoint now) const { return lease_valid(now) || !peers_reach_log_; }
-  /// @return whether the read was answered.
+  /// @param deadline_reached whether the read must be answered now, with an empty page or a refusal
+  /// if need be. @return whether the read was answered.
   bool try_answer(const Waiter& waiter, bool deadline_reached);
   void serve_waiters(const std::string& job);
   void forward(const net::ExchangePtr& exchange, const JobCall& call, int partition);
@@ -107,8 +108,8 @@
   BatchExecutor executor_;
   JobSubmissions submissions_;
   std::map<int, std::unique_ptr<PartitionOwner>> owners_;
-  std::vector<int>
-      fenced_;  ///< Dropped at the next tick: they may not be destroyed while they tell.
+  std::vector<int> fenced_;  ///< Released at the next tick: an owner must not be destroyed from
+                             ///< within its own callback.
   std::list<Waiter> waiters_;
   std::map<int, std::string> owner_addresses_;
   TimePoint owners_refreshed_{};
@@ -120,7 +121,7 @@
   GroupMember group_;
 };
 
-/// Header of a refusal by a node that does not own the job's partition.
+/// Response header set by a node that does not own the job's partition.
 inline constexpr const char* kNotOwnerHeader = "Dockpoint-Not-Owner";
 
 }  // namespace dockpoint
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -13,10 +13,10 @@
 namespace dockpoint {
 namespace {
 
-/// Between two searches for what may be forgotten.
+/// Interval between two removals of expired evidence.
 constexpr Duration kCleaningInterval = std::chrono::seconds(1);
 
-/// @return what a probe says of the replica, as metrics name it.
+/// @return the metric label value of a probe result.
 const char* verdict_name(ProbeResult result) {
   switch (result) {
     case ProbeResult::kListens:
@@ -48,7 +48,7 @@
                             const std::string& replica) {
   const Replica* known = context_.replicas.find(replica);
   if (known == nullptr || known->record.draining) {
-    spdlog::info("quarantine: end not counted content={} replica={} why=\"{}\"", request.hex(),
+    spdlog::info("quarantine: crash not counted content={} replica={} why=\"{}\"", request.hex(),
                  replica, known == nullptr ? "the replica has left" : "the replica drains");
     return;
   }
@@ -87,8 +87,9 @@
   const TimePoint now = net::steady_now();
   const bool ended = result == ProbeResult::kEnded;
   context_.metrics.count_broken_runs(verdict_name(result), suspicion.runs.size());
-  spdlog::info("quarantine: runs broke replica={} ended={} runs={} attempts={} afterMs={}", replica,
-               ended, suspicion.runs.size(), suspicion.attempts, to_ms(now - suspicion.broken_at));
+  spdlog::info("quarantine: runs interrupted replica={} ended={} runs={} attempts={} afterMs={}",
+               replica, ended, suspicion.runs.size(), suspicion.attempts,
+               to_ms(now - suspicion.broken_at));
   if (ended) {
     for (const auto& [request, traffic] : suspicion.runs) {
       const bool batch = traffic == TrafficClass::kBatch;
@@ -118,7 +119,7 @@
     case EvidenceEffect::kKnown:
       return;
     case EvidenceEffect::kCounted:
-      spdlog::info("quarantine: replica ended under a request content={} replica={} ends={}",
+      spdlog::info("quarantine: replica crash counted content={} replica={} ends={}",
                    evidence.request.hex(), replica,
                    quarantine_.report(evidence.request).evidence.size());
       if (quarantine_.check(evidence.request, now)) {
@@ -153,7 +154,7 @@
     const auto included = static_cast<std::size_t>(
         std::count_if(report.evidence.begin(), report.evidence.end(), same_request));
     if (included < context_.knobs.crash_limit) {
-      // Nobody else may have all the evidence together.
+      // Possibly no other node holds enough evidence for the quarantine.
       spread_.send_to_all(evidence.request, now);
       log_.save(evidence.request, quarantine_.report(evidence.request), now);
     }
--- a/src/gateway/crash_watch.hpp
+++ b/src/gateway/crash_watch.hpp
@@ -18,52 +18,55 @@
 
 struct GatewayContext;
 
-/// Finds requests that crash replicas and keeps them from the replicas.
+/// Detects requests that crash replicas and quarantines them.
 ///
-/// A run that breaks is no proof: the link may have been reset, or this node may have been paused.
-/// So the replica is probed: the end counts against what ran there only if nobody listens at its
-/// address any more. A replica that had announced its leave is not counted.
+/// A broken connection does not prove a crash: the link may have been reset, or this node may have
+/// been paused. The replica is therefore probed, and a crash is counted against the requests that
+/// ran there only if its address no longer accepts connections. Replicas that had announced a drain
+/// are not counted.
 ///
 /// Single-threaded; borrows the context.
 class CrashWatch {
  public:
-  /// Sends a report to another node's address for datagrams.
+  /// Sends an encoded report to another node's datagram address.
   using Send = std::function<void(const std::string& address, const std::string& bytes)>;
 
   CrashWatch(GatewayContext& context, PartitionedLog& log, const std::string& topic,
              std::uint64_t seed, Send send);
   ~CrashWatch();
 
-  /// The connection to a replica ended while it ran a request.
+  /// Records that the connection to a replica broke while it ran a request.
   void run_broken(const RequestFingerprint& request, TrafficClass traffic,
                   const std::string& replica);
-  /// A replica is known to have ended while it ran a request.
+  /// Records that a replica process is known to have ended while it ran a request.
   void replica_ended(const RequestFingerprint& request, TrafficClass traffic,
                      const std::string& replica);
-  /// @return whether any request may be quarantined: if not, none needs a fingerprint.
+  /// @return whether any request may be quarantined; if not, callers can skip the fingerprint.
   bool may_hold() const { return !quarantine_.empty(); }
-  /// @return why a request must not be sent, or nothing.
+  /// @return the verdict if the request is quarantined and must not be sent, or nothing.
   std::optional<QuarantineVerdict> check(const RequestFingerprint& request, TimePoint now) const {
     return quarantine_.check(request, now);
   }
-  /// An operator lets a request go to replicas again. @return whether it was known.
+  /// Clears a request on behalf of an operator, so that it may be sent to replicas again.
+  /// @return whether anything was recorded about the request.
   bool clear(const RequestFingerprint& request);
-  /// @return what is known of a request.
+  /// @return the evidence and clearances of a request.
   CrashReport known(const RequestFingerprint& request) const { return quarantine_.report(request); }
   /// @return requests that are quarantined or cleared.
   std::vector<RequestFingerprint> decided(TimePoint now) const { return quarantine_.decided(now); }
 
-  /// Takes another node's word. @param address of that node, for datagrams.
+  /// Merges a report from another node. @param address datagram address of that node.
   void take(const CrashReport& report, const std::string& address, TimePoint now);
-  /// Another node may have missed what is decided. @param address of it, for datagrams.
+  /// Sends quarantined and cleared requests to a node that may have missed them.
+  /// @param address datagram address of that node.
   void send_decisions(const std::string& address) { spread_.answer(address); }
-  /// This node has started, or stood still: it may have missed what the others know.
+  /// Fetches reports that this node may have missed because it just started or was paused.
   void catch_up(TimePoint now);
-  /// Sends what is due; call several times a second.
+  /// Sends due reports and writes due records; call several times a second.
   void tick(const std::vector<const Member*>& members, TimePoint now);
 
  private:
-  /// Runs that broke at one replica, until it is known whether it has ended.
+  /// Broken runs at one replica, kept until a probe shows whether its process has ended.
   struct Suspicion {
     Address address;
     TimePoint broken_at{};
@@ -75,7 +78,7 @@
   void handle_probe_result(const std::string& replica, ProbeResult result);
   void schedule_probe(const std::string& replica);
   void count(const CrashEvidence& evidence, const std::string& replica, TimePoint now);
-  /// Takes evidence that another node, or the log, has told.
+  /// Merges evidence from another node or from the log.
   void merge(const CrashReport& report, const std::string& source, TimePoint now);
   void log_quarantine(const RequestFingerprint& request, const std::string& source,
                       TimePoint now) const;
