--- a/src/gateway/item_run.cpp
+++ b/src/gateway/item_run.cpp
@@ -12,12 +12,12 @@
 namespace dockpoint {
 namespace {
 
-/// The replica tried the item and failed.
+/// Status of a replica that ran the item and failed.
 constexpr int kItemFailed = 500;
-/// The item can never be done.
+/// Status of an item that no replica can process.
 constexpr int kItemImpossible = 422;
 
-/// Pause before an item runs again that a replica had no room for.
+/// Pause before an item is retried, e.g. after a replica had no free slot.
 constexpr Duration kRetryPause = std::chrono::milliseconds(150);
 
 }  // namespace
@@ -116,7 +116,7 @@
     interrupted(now, "the answer says nothing of the item");
     return;
   }
-  kept.last_replica = attempt_.replica();  // It may be the replica that fails: try another.
+  kept.last_replica = attempt_.replica();  // The fault may be the replica's: prefer another one.
   ++kept.produced.failures;
   context_.metrics.count_item("failed");
   spdlog::info("batch: item failed job={} item={} status={} failures={}/{}", ref_.job, item_id_,
--- a/src/gateway/item_run.hpp
+++ b/src/gateway/item_run.hpp
@@ -16,7 +16,7 @@
           const DueTime& due);
 
   void start(const Replica& replica, std::string bytes, double missing_tokens, TimePoint now);
-  /// Ends the run; what it has produced is kept.
+  /// Cancels the run; its output so far is kept.
   void cancel() { attempt_.end(); }
   void tick(TimePoint now);
 
@@ -32,7 +32,8 @@
  private:
   void handle_event(const StreamEvent& event);
   void interrupted(TimePoint now, const char* why);
-  /// The run broke. @param replica_ended whether it is known that its replica has ended.
+  /// Reports an interrupted run to the crash watch.
+  /// @param replica_ended whether the replica process is known to have ended.
   void report_to_crash_watch(bool replica_ended);
   ItemProgress& progress();
 
@@ -47,7 +48,7 @@
   TimePoint last_progress_{};
   int status_ = 0;
   bool rejected_ = false;
-  bool broken_sequence_ = false;  ///< An event is missing between what is kept and what came.
+  bool broken_sequence_ = false;  ///< The stream skipped an event id after the checkpoint.
   EventFramer framer_;
 };
 
--- a/src/gateway/job_submissions.cpp
+++ b/src/gateway/job_submissions.cpp
@@ -14,11 +14,11 @@
 namespace dockpoint {
 namespace {
 
-/// First pause before an append that failed is repeated.
+/// Backoff after a failed append, multiplied by the number of failures.
 constexpr Duration kAppendRetryPause = std::chrono::milliseconds(120);
 
-/// A node that a job is passed on to answers so long before the first node gives the job up, so
-/// that its answer, which may be a promise, still counts.
+/// A node that receives a forwarded job answers this long before the forwarding node's deadline, so
+/// that its answer, which may be an acceptance, still arrives in time.
 constexpr Duration kForwardMargin = std::chrono::milliseconds(250);
 
 double tokens_of(const BatchJob& job) {
@@ -29,7 +29,7 @@
   return tokens;
 }
 
-/// @return the records of a job, in as many appends as the log's limits ask for.
+/// @return the records of a job, divided into appends that respect the log's limits.
 std::vector<std::vector<KeyedRecord>> divide_into_appends(const BatchJob& job,
                                                           const LogLimits& limits) {
   std::vector<std::vector<KeyedRecord>> appends;
@@ -48,24 +48,25 @@
 
 }  // namespace
 
-/// A job on its way into the log.
+/// A job that is being written to the log.
 struct JobSubmissions::Submission {
   net::ExchangePtr exchange;
   std::string job;
   std::string tenant;
   double tokens = 0;
-  double limit = 0;  ///< Of the tenant on the route, on tokens that wait; 0: none.
+  double limit = 0;  ///< On the tenant's waiting tokens on the route; 0: unlimited.
   TopicPartition partition;
-  std::vector<std::vector<KeyedRecord>> appends;  ///< The last one makes the job valid.
+  std::vector<std::vector<KeyedRecord>> appends;  ///< The last one completes the job.
   std::size_t next = 0;
   bool may_write = false;  ///< The job may be appended.
-  bool reserved = false;   ///< The limit leaves room for it.
-  bool unknown = false;    ///< An append may have been done without an answer.
+  bool reserved = false;   ///< The quota holds a reservation for it.
+  bool unknown = false;    ///< An append may have succeeded without an answer.
   bool append_in_flight = false;
   bool finished = false;
   int forwards_left = 0;
-  bool forwarding = false;                ///< Another node has the job and has not answered.
-  std::optional<QuotaAnswer> over_limit;  ///< This node found no room; the other one may yet.
+  bool forwarding = false;  ///< Another node has received the job and not answered yet.
+  std::optional<QuotaAnswer>
+      over_limit;  ///< Refusal by this node's quota; another node may still accept.
   int failures = 0;
   TimePoint retry_at{};
   TimePoint deadline{};
@@ -133,7 +134,7 @@
       hash64(submission->job) + static_cast<std::uint64_t>(submission->forwards_left);
   const std::optional<Address> address = Address::parse(peers[turn % peers.size()]);
   if (address) {
-    spdlog::info("batch: job passed on job={} to={} logReachable={} waitedMs={}", submission->job,
+    spdlog::info("batch: job forwarded job={} to={} logReachable={} waitedMs={}", submission->job,
                  address->to_string(), log_reachable_, to_ms(waited));
     forward(submission, *address, wait);
   }
@@ -162,7 +163,7 @@
   submission->forwarding = false;
   const bool not_sent = outcome.failure == net::CallFailure::kNotSent;
   const int status = outcome.failure ? 0 : outcome.head.status;
-  // The other node gives these only where nothing can have been written.
+  // The peer answers 503 and 429 only if nothing can have been written.
   const bool not_written = not_sent || status == 503 || status == 429;
   submission->unknown = submission->unknown || !not_written;
   if (submission->finished) {
@@ -274,7 +275,7 @@
 
 void JobSubmissions::refuse_over_limit(const SubmissionPtr& submission) {
   if (submission->may_run()) {
-    return;  // The node that it was passed on to decides.
+    return;  // The job may still be accepted, e.g. by the node it was forwarded to.
   }
   const Duration fits_after = submission->over_limit->fits_after;
   const double limit = submission->limit;
@@ -317,7 +318,7 @@
       continue;
     }
     if (submission->exchange->answered()) {
-      submission->finished = true;  // The caller has gone.
+      submission->finished = true;  // The caller has disconnected.
       std::erase(submissions_, submission);
     } else if (now >= submission->deadline) {
       give_up(submission);
--- a/src/gateway/online_call.cpp
+++ b/src/gateway/online_call.cpp
@@ -14,16 +14,16 @@
 namespace dockpoint {
 namespace {
 
-/// Output that a caller has not taken yet holds the replica up beyond this, in bytes.
+/// Unsent output, in bytes, above which reading from the replica pauses.
 constexpr std::size_t kMaxPendingOutput = 256 * 1024;
 
-/// A request without a limit of its own is held no longer than this.
+/// Timeout of requests on routes without one.
 constexpr Duration kDefaultTimeout = std::chrono::seconds(60);
 
 constexpr int kInternalError = 500;
 constexpr int kBadGateway = 502;
 
-/// @return whether a status promises that the request did not run.
+/// @return whether a status promises the caller that the request did not run.
 bool promises_not_run(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -79,7 +79,7 @@
   const ReplicaQuery query{service_, TrafficClass::kOnline, info_.prompt, excluded_};
   ReplicaChoice choice = context_.selector.choose(query, now);
   if (choice.replica == nullptr && !excluded_.empty()) {
-    // Every replica failed this request once; one of them is tried again.
+    // Every replica has failed this request once: try any of them again.
     excluded_.clear();
     choice = context_.selector.choose({service_, TrafficClass::kOnline, info_.prompt, {}}, now);
   }
@@ -142,7 +142,7 @@
   const TimePoint now = net::steady_now();
   const std::optional<ReplicaAnswer> answer = attempt_.handle_head(head, info_.id, now);
   if (!answer) {
-    spdlog::warn("online: answer of another request skipped id={} replica={} status={}", info_.id,
+    spdlog::warn("online: answer to another request skipped id={} replica={} status={}", info_.id,
                  attempt_.replica(), head.status);
     return false;
   }
@@ -191,7 +191,7 @@
 
 void OnlineCall::forward_event(const StreamEvent& event) {
   if (event.id && last_event_ && *event.id <= *last_event_) {
-    return;  // The caller has it from the run before.
+    return;  // The caller received it from an earlier attempt.
   }
   if (event.id) {
     last_event_ = event.id;
@@ -237,7 +237,7 @@
   const TimePoint now = net::steady_now();
   const bool success = head_.status / 100 == 2;
   if (exchange_->answered()) {
-    // A resumed stream got something else than a stream.
+    // The attempt to resume the stream was not answered with a stream.
     end_attempt();
     after_failure(AttemptFailure::kInterrupted, now);
     return;
@@ -356,7 +356,7 @@
 }
 
 void OnlineCall::fail_over(const char* why, TimePoint now) {
-  spdlog::warn("online: attempt given up id={} replica={} silentMs={} why=\"{}\"", info_.id,
+  spdlog::warn("online: attempt abandoned id={} replica={} silentMs={} why=\"{}\"", info_.id,
                attempt_.replica(), to_ms(now - last_progress_), why);
   attempt_.signal(ReplicaSignal::kBroken, now);
   end_attempt();
--- a/src/gateway/online_call.hpp
+++ b/src/gateway/online_call.hpp
@@ -15,10 +15,10 @@
 
 /// One online request from its arrival to its final answer.
 ///
-/// An answer that is not a stream is held until it is whole, so that a broken one can still be
-/// repeated. A stream is passed on as it comes; if it may be resumed, only in whole events, so that
-/// another replica can go on behind the last one. A stream that cannot go on is broken off: the
-/// caller must not take it for complete.
+/// An answer that is not a stream is buffered until it is complete, so that the request can still
+/// be retried after an interruption. A stream is forwarded as it arrives. A resumable stream is
+/// forwarded in whole events only, so that another replica can resume after the last one. A stream
+/// that cannot be resumed is aborted, so that the caller does not take it for complete.
 class OnlineCall : public net::CallObserver, public std::enable_shared_from_this<OnlineCall> {
  public:
   OnlineCall(OnlineProxy& proxy, net::ExchangePtr exchange,
@@ -41,41 +41,43 @@
   void forward_event(const StreamEvent& event);
   void complete_buffered();
   void after_failure(AttemptFailure failure, TimePoint now);
-  /// The attempt is over: nothing of it is in flight any more.
+  /// Ends the attempt under way, if any, and excludes its replica from the next choice.
   void end_attempt();
-  /// Refuses the request if it has not been sent yet and would be answered late.
+  /// Refuses the request if it has not been sent yet and would miss its latency objective.
   /// @return whether it was refused.
   bool refuse_for_load(const ReplicaChoice& choice, TimePoint now);
-  /// @return why the request is kept from the replicas, or nothing.
+  /// @return the verdict if the request is quarantined, or nothing.
   std::optional<QuarantineVerdict> quarantined(TimePoint now);
-  /// Refuses the request if it crashes replicas. @return whether it was refused.
+  /// Refuses the request if it is quarantined. @return whether it was refused.
   bool refuse_quarantined(TimePoint now);
-  /// Ends the request, which was quarantined while it was under way.
+  /// Ends a request that was quarantined while it was in progress.
   void abort_quarantined(TimePoint now);
   /// Counts the request against its tenant's rate limit, or refuses it.
   /// @return whether it was refused.
   bool refuse_over_rate_limit(TimePoint now);
   void refuse(const char* why);
-  /// @param pause after which the caller may come back.
+  /// @param pause value of `Retry-After`.
   void refuse(const char* why, Duration pause);
   void fail(int status, const char* why);
   void break_off(const char* why);
-  /// The request has its final answer.
+  /// Records the final outcome and removes the request from the proxy.
   void finish(const char* outcome, const char* why);
   void expire(TimePoint now);
   void check_silence(TimePoint now);
-  /// Ends the attempt, whose replica will not answer it, and goes on as after a broken connection.
+  /// Abandons the attempt at an unresponsive or restarted replica, and proceeds as after a broken
+  /// connection.
   void fail_over(const char* why, TimePoint now);
-  /// @return whether the request may go on at another replica while this one is silent.
+  /// @return whether the request may be retried or resumed at another replica while the current one
+  /// is silent.
   bool may_fail_over() const;
-  /// @return whether the whole answer that came is the replica's word that it failed.
+  /// @return whether the complete answer states that the replica failed.
   bool replica_reported_failure() const;
   const char* kind() const;
-  /// @return what tells that this request is the same as one before, at any node.
+  /// @return the fingerprint of the request's content, equal at all nodes.
   const RequestFingerprint& fingerprint();
-  /// Notes that the caller gets the first byte of its answer now.
+  /// Records the time to first byte and the error of the expected wait.
   void note_first_byte();
-  /// @return whether the first byte came later than the route's objective.
+  /// @return whether the time to first byte exceeded the route's objective.
   bool late() const { return route_.target > Duration{} && first_byte_after_ > route_.target; }
 
   OnlineProxy& proxy_;
@@ -83,10 +85,10 @@
   net::ExchangePtr exchange_;
   std::shared_ptr<const RoutingConfiguration> configuration_;
   const RouteConfig& route_;
-  const Tenant* tenant_;  ///< Of `configuration_`; null: the request belongs to none.
-  bool counted_ = false;  ///< Against the tenant's rate limit.
+  const Tenant* tenant_;  ///< Owned by `configuration_`; null if the request has none.
+  bool counted_ = false;  ///< Whether it was counted against the tenant's rate limit.
   RequestInfo info_;
-  std::optional<RequestFingerprint> fingerprint_;  ///< Once it was needed.
+  std::optional<RequestFingerprint> fingerprint_;  ///< Computed on first use.
   std::string service_;
   TimePoint deadline_{};
   AttemptHistory history_;
@@ -95,21 +97,21 @@
   ReplicaAttempt attempt_;
   TimePoint sent_at_{};
   bool head_seen_ = false;
-  bool rejected_ = false;          ///< The replica said that it did not run the request.
-  bool backpressured_ = false;     ///< By its caller: the run tells nothing of the replica's pace.
-  bool streaming_ = false;         ///< The answer under way is a stream that is passed on.
-  bool silence_reported_ = false;  ///< The directory knows that this attempt is silent.
+  bool rejected_ = false;          ///< The replica did not run the request, or is the wrong one.
+  bool backpressured_ = false;     ///< Slowed down by the caller: no sample of the replica's pace.
+  bool streaming_ = false;         ///< The current answer is forwarded as a stream.
+  bool silence_reported_ = false;  ///< The silence of this attempt was reported to the directory.
   net::ResponseHead head_;
   std::string body_;
   EventFramer framer_;
-  std::optional<std::uint64_t> last_event_;  ///< That the caller has.
+  std::optional<std::uint64_t> last_event_;  ///< Id of the last event that the caller has.
   TimePoint last_progress_{};
   int sends_ = 0;
-  int load_at_choice_ = 0;       ///< Of the replica chosen last, without this request.
-  int slots_at_choice_ = 0;      ///< The same replica's.
-  bool own_slot_ = false;        ///< It was sent to a slot of this node's own.
-  Duration expected_wait_{};     ///< For a slot at the replica chosen last.
-  Duration first_byte_after_{};  ///< From the arrival; zero as long as there is none.
+  int load_at_choice_ = 0;       ///< Of the last chosen replica, without this request.
+  int slots_at_choice_ = 0;      ///< Of the last chosen replica.
+  bool own_slot_ = false;        ///< Sent to one of this node's own slots.
+  Duration expected_wait_{};     ///< For a slot at the last chosen replica.
+  Duration first_byte_after_{};  ///< Since arrival; zero before the first byte.
   bool finished_ = false;
 };
 
