--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -16,7 +16,7 @@
 /// Maximum size of the results in one response, in bytes.
 constexpr std::size_t kPageBytes = 1'000'000;
 
-/// Minimum time that a read may wait for its partition to be loaded.
+/// Minimum time limit of a read, during which its partition may still be loading.
 constexpr Duration kLoadWait = std::chrono::milliseconds(800);
 
 /// Lifetime of cached partition owners.
@@ -142,7 +142,7 @@
                 if (!*alive) {
                   return;
                 }
-                spdlog::info("batch: job end written job={} outcome={}", job,
+                spdlog::info("batch: append of job end job={} outcome={}", job,
                              static_cast<int>(outcome.status));
                 if (outcome.status == LogStatus::kOk) {
                   exchange->respond(200, {}, {});
@@ -309,7 +309,7 @@
 }
 
 void BatchService::on_job_ended(int partition, const std::string& job) {
-  spdlog::info("batch: job ended by client job={}", job);
+  spdlog::info("batch: job ended by its client job={}", job);
   executor_.end_job(partition, job);
 }
 
@@ -318,7 +318,7 @@
 }
 
 void BatchService::on_partition_fenced(int partition) {
-  spdlog::warn("batch: partition fenced by newer owner partition={}", partition);
+  spdlog::warn("batch: partition fenced by a newer owner partition={}", partition);
   fenced_.push_back(partition);
 }
 
--- a/src/gateway/batch_service.hpp
+++ b/src/gateway/batch_service.hpp
@@ -44,10 +44,11 @@
   void handle(const net::ExchangePtr& exchange, const JobCall& call, bool forwarded);
 
   void tick(TimePoint now);
-  /// Starts no further items, and hands over the progress of all partitions.
+  /// Cancels and checkpoints all running items and starts no further ones; see drained().
   void drain();
-  /// Leaves the group of partition owners now.
+  /// Leaves the group of partition owners now and thereby releases all partitions.
   void leave();
+  /// @return whether no item runs and no write is pending.
   bool drained() const;
 
   /// @return whether this node's lease on its partitions is valid.
--- a/src/gateway/traffic_protocol.hpp
+++ b/src/gateway/traffic_protocol.hpp
@@ -69,7 +69,8 @@
   /// @return the API key that the request carries; borrows the head.
   virtual Credential read_credential(const net::RequestHead& head) const = 0;
   /// Replaces the API key, and any tenant that the caller states, in the head by the given tenant.
-  /// Afterwards headers that the caller lists in its `Connection` header are no longer dropped.
+  /// Removes the connection headers first, so that a caller that lists the tenant's header in
+  /// `Connection` cannot cause it to be dropped later.
   /// @param tenant empty if there is none.
   virtual void name_tenant(net::RequestHead& head, const std::string& tenant) const = 0;
   /// @return the tenant that `name_tenant` set in the head; empty if there is none.
