--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -13,21 +13,21 @@
 namespace dockpoint {
 namespace {
 
-/// Most bytes of results in one answer.
+/// Maximum size of the results in one response, in bytes.
 constexpr std::size_t kPageBytes = 1'000'000;
 
-/// Longest time that a read waits for its partition to be loaded.
+/// Minimum time limit of a read, during which its partition may still be loading.
 constexpr Duration kLoadWait = std::chrono::milliseconds(800);
 
-/// How long the owners that the log told are believed without a reason to doubt.
+/// Lifetime of cached partition owners.
 constexpr Duration kOwnersLifetime = std::chrono::seconds(4);
-/// Shortest time between two questions for owners.
+/// Minimum interval between two queries for owners.
 constexpr Duration kOwnersInterval = std::chrono::milliseconds(400);
 
-/// Time limit of a call passed on to an owner, beside the time that it may wait there.
+/// Timeout of a call forwarded to an owner, in addition to the call's own wait.
 constexpr Duration kForwardTimeout = std::chrono::milliseconds(1200);
 
-/// @return the address in a member's name, `IP:port#run`.
+/// @return the address part of a member name, `IP:port#run`.
 std::string address_of(const std::string& member) {
   return member.substr(0, member.find('#'));
 }
@@ -36,7 +36,7 @@
   return fmt::format("{}#{:x}", name.control_address, name.run);
 }
 
-/// @return results of `job` from `position` on, as many as one answer holds.
+/// @return the results of `job` from `position` on that fit into one response.
 ResultPage page_of(const LedgerJob& job, std::uint64_t position) {
   ResultPage page{&job, static_cast<std::size_t>(position), 0};
   std::size_t bytes = 0;
@@ -79,7 +79,7 @@
   const int partition = job_partition(call.job, log_.limits().partitions);
   const PartitionOwner* owner = owner_of(partition);
   const TimePoint now = net::steady_now();
-  if (owner != nullptr && may_answer(now)) {
+  if (owner != nullptr && may_serve_reads(now)) {
     read({exchange, call, now + std::max(call.wait, kLoadWait)});
   } else if (owner == nullptr && !forwarded) {
     forward(exchange, call, partition);
@@ -94,18 +94,18 @@
   }
 }
 
-bool BatchService::try_answer(const Waiter& waiter, bool last_chance) {
+bool BatchService::try_answer(const Waiter& waiter, bool deadline_reached) {
   const int partition = job_partition(waiter.call.job, log_.limits().partitions);
   const PartitionOwner* owner = owner_of(partition);
-  const LedgerJob* job = owner != nullptr && owner->active() && may_answer(net::steady_now())
+  const LedgerJob* job = owner != nullptr && owner->active() && may_serve_reads(net::steady_now())
                              ? owner->ledger().find(waiter.call.job)
                              : nullptr;
   if (job == nullptr) {
-    // Accepted moments ago, perhaps, and not read from the log yet.
-    if (last_chance) {
+    // The job may have been accepted recently and not yet been read from the log.
+    if (deadline_reached) {
       refuse(waiter.exchange);
     }
-    return last_chance;
+    return deadline_reached;
   }
   if (waiter.call.operation == JobOperation::kItemBody) {
     const auto& items = job->job.items;
@@ -120,7 +120,7 @@
     return true;
   }
   const ResultPage page = page_of(*job, waiter.call.position);
-  const bool waits = waiter.call.wait > Duration{} && !job->complete() && !last_chance;
+  const bool waits = waiter.call.wait > Duration{} && !job->complete() && !deadline_reached;
   if (page.count == 0 && waits) {
     return false;
   }
@@ -142,7 +142,7 @@
                 if (!*alive) {
                   return;
                 }
-                spdlog::info("batch: end of job job={} outcome={}", job,
+                spdlog::info("batch: append of job end job={} outcome={}", job,
                              static_cast<int>(outcome.status));
                 if (outcome.status == LogStatus::kOk) {
                   exchange->respond(200, {}, {});
--- a/src/gateway/crash_watch.cpp
+++ b/src/gateway/crash_watch.cpp
@@ -13,10 +13,10 @@
 namespace dockpoint {
 namespace {
 
-/// Between two searches for what may be forgotten.
+/// Interval between two removals of expired evidence.
 constexpr Duration kCleaningInterval = std::chrono::seconds(1);
 
-/// @return what a probe says of the replica, as metrics name it.
+/// @return the metric label value of a probe result.
 const char* verdict_name(ProbeResult result) {
   switch (result) {
     case ProbeResult::kListens:
@@ -48,7 +48,7 @@
                             const std::string& replica) {
   const Replica* known = context_.replicas.find(replica);
   if (known == nullptr || known->record.draining) {
-    spdlog::info("quarantine: end not counted content={} replica={} why=\"{}\"", request.hex(),
+    spdlog::info("quarantine: crash not counted content={} replica={} why=\"{}\"", request.hex(),
                  replica, known == nullptr ? "the replica has left" : "the replica drains");
     return;
   }
@@ -67,19 +67,19 @@
   ReplicaProbe::start(context_.loop, suspicion.address, context_.knobs.crash_probe_timeout,
                       [this, life = life_, replica](ProbeResult result) {
                         if (life->alive) {
-                          take_probe(replica, result);
+                          handle_probe_result(replica, result);
                         }
                       });
 }
 
-void CrashWatch::take_probe(const std::string& replica, ProbeResult result) {
+void CrashWatch::handle_probe_result(const std::string& replica, ProbeResult result) {
   const auto found = suspicions_.find(replica);
   if (found == suspicions_.end()) {
     return;
   }
   if (result == ProbeResult::kUnknown &&
       found->second.attempts < context_.knobs.crash_probe_attempts) {
-    probe_again(replica);
+    schedule_probe(replica);
     return;
   }
   const Suspicion suspicion = std::move(found->second);
@@ -87,8 +87,9 @@
   const TimePoint now = net::steady_now();
   const bool ended = result == ProbeResult::kEnded;
   context_.metrics.count_broken_runs(verdict_name(result), suspicion.runs.size());
-  spdlog::info("quarantine: runs broke replica={} ended={} runs={} attempts={} afterMs={}", replica,
-               ended, suspicion.runs.size(), suspicion.attempts, to_ms(now - suspicion.broken_at));
+  spdlog::info("quarantine: runs interrupted replica={} ended={} runs={} attempts={} afterMs={}",
+               replica, ended, suspicion.runs.size(), suspicion.attempts,
+               to_ms(now - suspicion.broken_at));
   if (ended) {
     for (const auto& [request, traffic] : suspicion.runs) {
       const bool batch = traffic == TrafficClass::kBatch;
@@ -97,7 +98,7 @@
   }
 }
 
-void CrashWatch::probe_again(const std::string& replica) {
+void CrashWatch::schedule_probe(const std::string& replica) {
   const auto timer = std::make_shared<boost::asio::steady_timer>(context_.loop);
   timer->expires_after(context_.knobs.crash_probe_interval);
   timer->async_wait([this, life = life_, replica, timer](const boost::system::error_code& error) {
@@ -118,7 +119,7 @@
     case EvidenceEffect::kKnown:
       return;
     case EvidenceEffect::kCounted:
-      spdlog::info("quarantine: replica ended under a request content={} replica={} ends={}",
+      spdlog::info("quarantine: replica crash counted content={} replica={} ends={}",
                    evidence.request.hex(), replica,
                    quarantine_.report(evidence.request).evidence.size());
       if (quarantine_.check(evidence.request, now)) {
@@ -150,10 +151,10 @@
     const auto same_request = [&](const CrashEvidence& other) {
       return other.request == evidence.request;
     };
-    const auto told = static_cast<std::size_t>(
+    const auto included = static_cast<std::size_t>(
         std::count_if(report.evidence.begin(), report.evidence.end(), same_request));
-    if (told < context_.knobs.crash_limit) {
-      // Nobody else may have all the evidence together.
+    if (included < context_.knobs.crash_limit) {
+      // Possibly no other node holds enough evidence for the quarantine.
       spread_.send_to_all(evidence.request, now);
       log_.save(evidence.request, quarantine_.report(evidence.request), now);
     }
--- a/src/gateway/item_run.hpp
+++ b/src/gateway/item_run.hpp
@@ -16,7 +16,7 @@
           const DueTime& due);
 
   void start(const Replica& replica, std::string bytes, double missing_tokens, TimePoint now);
-  /// Ends the run; what it has produced is kept.
+  /// Cancels the run; its output so far is kept.
   void cancel() { attempt_.end(); }
   void tick(TimePoint now);
 
@@ -30,10 +30,11 @@
   void on_failure(net::CallFailure failure) override;
 
  private:
-  void take_event(const StreamEvent& event);
+  void handle_event(const StreamEvent& event);
   void interrupted(TimePoint now, const char* why);
-  /// The run broke. @param replica_ended whether it is known that its replica has ended.
-  void tell_crash_watch(bool replica_ended);
+  /// Reports an interrupted run to the crash watch.
+  /// @param replica_ended whether the replica process is known to have ended.
+  void report_to_crash_watch(bool replica_ended);
   ItemProgress& progress();
 
   BatchExecutor& executor_;
@@ -46,8 +47,8 @@
   ReplicaAttempt attempt_;
   TimePoint last_progress_{};
   int status_ = 0;
-  bool turned_away_ = false;
-  bool broken_sequence_ = false;  ///< An event is missing between what is kept and what came.
+  bool rejected_ = false;
+  bool broken_sequence_ = false;  ///< The stream skipped an event id after the checkpoint.
   EventFramer framer_;
 };
 
--- a/src/gateway/replica_attempt.cpp
+++ b/src/gateway/replica_attempt.cpp
@@ -22,8 +22,8 @@
   call_ = context_.client.start(endpoint_of(replica.record), std::move(bytes), options, observer);
 }
 
-std::optional<ReplicaAnswer> ReplicaAttempt::take_head(const net::ResponseHead& head,
-                                                       const std::string& id, TimePoint now) {
+std::optional<ReplicaAnswer> ReplicaAttempt::handle_head(const net::ResponseHead& head,
+                                                         const std::string& id, TimePoint now) {
   const ReplicaAnswer answer = context_.protocol.read_answer(head, id);
   if (!answer.belongs) {
     return std::nullopt;
@@ -40,7 +40,7 @@
   if (answer.load) {
     context_.replicas.report(replica_, *answer.load, now);
     if (answer.load->pace_unreadable && context_.replicas.first_unreadable_pace(replica_)) {
-      spdlog::warn("fleet: the pace that a replica states is ignored replica={}", replica_);
+      spdlog::warn("fleet: unreadable pace reported by replica ignored replica={}", replica_);
     }
   }
   if (answer.not_run && !answer.wrong_replica && context_.replicas.turned_away(replica_, now)) {
@@ -48,14 +48,14 @@
   }
 }
 
-void ReplicaAttempt::take_stream(std::string_view bytes, TimePoint now) {
+void ReplicaAttempt::observe_stream(std::string_view bytes, TimePoint now) {
   stream_.take(bytes, now);
 }
 
 void ReplicaAttempt::note_pace(TimePoint now) {
   const Replica* replica = context_.replicas.find(replica_);
   if (replica == nullptr || now < replica->cold_until) {
-    return;  // A cold replica tells nothing of how it works later.
+    return;  // The pace of a cold replica does not represent its later pace.
   }
   if (const auto step = stream_.step()) {
     context_.replicas.paces().observed(replica->key, PaceSample::kEvent, *step, now);
