--- a/src/gateway/fleet_watch.cpp
+++ b/src/gateway/fleet_watch.cpp
@@ -114,16 +114,16 @@
     remove_replica(id);
   }
   if (subset_revision_ != subset_.revision()) {
-    review_subset();
+    apply_subset();
   }
   if (removal_grace_.empty()) {
-    lapsed_services_.clear();
+    mass_expired_services_.clear();
   } else {
-    review_held();
+    update_deferred_replicas();
   }
 }
 
-void FleetWatch::review_held() {
+void FleetWatch::update_deferred_replicas() {
   struct Count {
     std::size_t held = 0;
     std::size_t known = 0;
@@ -140,14 +140,14 @@
   }
   for (const auto& [service, count] : services) {
     if (RemovalGrace::is_mass_expiry(count.held, count.known)) {
-      lapsed_services_.insert(service);
+      mass_expired_services_.insert(service);
     }
   }
   std::vector<ReplicaRecord> changed;
   for (const auto& [id, replica] : context_.replicas.all()) {
     const std::string& name = replica.record.registered_name();
-    const bool suspend =
-        removal_grace_.is_deferred(name) && !lapsed_services_.contains(replica.record.service);
+    const bool suspend = removal_grace_.is_deferred(name) &&
+                         !mass_expired_services_.contains(replica.record.service);
     if (suspend && !replica.record.draining) {
       suspended_.insert(name);
       changed.push_back(replica.record);
@@ -187,7 +187,7 @@
     }
   }
   const LogOffset position = configuration_follower_->watch().position();
-  note_evacuations(context_.replicas.evacuations().replace(std::move(zones), position), "log");
+  log_evacuations(context_.replicas.evacuations().replace(std::move(zones), position), "log");
 }
 
 void FleetWatch::take_operator_record(const KeyedRecord& record) {
@@ -197,7 +197,7 @@
   ZoneEvacuations& evacuations = context_.replicas.evacuations();
   const std::string zone = evacuated_zone(record);
   if (!zone.empty()) {
-    note_evacuations(evacuations.change(zone, !record.value.empty(), record.offset), "log");
+    log_evacuations(evacuations.change(zone, !record.value.empty(), record.offset), "log");
   } else if (record.key == topics_.configuration_key && !record.value.empty()) {
     take_configuration(record.value, "log");
   }
@@ -210,7 +210,7 @@
   return evacuation ? record.key.substr(prefix.size()) : std::string{};
 }
 
-void FleetWatch::note_evacuations(bool changed, const std::string& source) {
+void FleetWatch::log_evacuations(bool changed, const std::string& source) {
   if (changed) {
     const ZoneEvacuations& evacuations = context_.replicas.evacuations();
     spdlog::info("fleet: evacuated zones=[{}] position={} source={}",
@@ -222,7 +222,7 @@
   ZoneEvacuations& evacuations = context_.replicas.evacuations();
   if (state.operator_position > evacuations.position()) {
     const std::set<std::string> zones(state.evacuated_zones.begin(), state.evacuated_zones.end());
-    note_evacuations(evacuations.replace(zones, state.operator_position), peer);
+    log_evacuations(evacuations.replace(zones, state.operator_position), peer);
   }
 }
 
@@ -259,7 +259,7 @@
     take_unreadable_record(name, value, problem);
     return;
   }
-  if (is_of_earlier_life(*record)) {
+  if (is_of_earlier_incarnation(*record)) {
     spdlog::info("fleet: record of an earlier life ignored replica={}", record->id);
     return;
   }
@@ -292,7 +292,7 @@
 }
 
 void FleetWatch::count_replica(KnownRecord& known) {
-  if (!counts_told_) {
+  if (!counts_from_peer_) {
     subset_.add(known.service, known.zone);
     known.counted = true;
   }
@@ -319,8 +319,8 @@
     record_server_->forget(topics_.configuration);
     record_server_->forget(topics_.replicas);
   }
-  if (counts_told_ && (whole || !relays)) {
-    counts_told_ = false;
+  if (counts_from_peer_ && (whole || !relays)) {
+    counts_from_peer_ = false;
     subset_.adopt_counts({});
     for (auto& [name, known] : records_) {
       if (!known.replica.empty()) {
@@ -346,7 +346,7 @@
   if (!relays_ || whole_) {
     return;
   }
-  const bool first = !std::exchange(counts_told_, true);
+  const bool first = !std::exchange(counts_from_peer_, true);
   subset_.adopt_counts(counts);
   if (first) {
     for (auto& [name, known] : records_) {
@@ -376,10 +376,10 @@
   return true;
 }
 
-void FleetWatch::review_subset() {
+void FleetWatch::apply_subset() {
   subset_revision_ = subset_.revision();
   const bool widened = std::exchange(subset_widened_, subset_.widened()) != subset_.widened();
-  if (widened && counts_told_) {
+  if (widened && counts_from_peer_) {
     replica_follower_->reload();  // Records of the new part are not here.
   }
   std::size_t added = 0;
@@ -402,7 +402,7 @@
       subset_.slices(), records_.size(), context_.replicas.all().size(), added, removed);
 }
 
-bool FleetWatch::is_of_earlier_life(const ReplicaRecord& record) const {
+bool FleetWatch::is_of_earlier_incarnation(const ReplicaRecord& record) const {
   const auto newest = newest_start_.find(record.registered_name());
   return newest != newest_start_.end() && record.started_ms < newest->second;
 }
--- a/src/gateway/fleet_watch.hpp
+++ b/src/gateway/fleet_watch.hpp
@@ -109,7 +109,7 @@
   void take_configuration(const std::string& value, const std::string& source);
   /// @return the zone that a record of the operator evacuates or takes back; empty: none.
   std::string evacuated_zone(const KeyedRecord& record) const;
-  void note_evacuations(bool changed, const std::string& source);
+  void log_evacuations(bool changed, const std::string& source);
   void take_evacuations(const FleetState& state, const std::string& peer);
   /// What the record of a replica stands for now.
   struct KnownRecord {
@@ -132,15 +132,15 @@
   /// Takes a replica into use whose record was read before. @return whether it could be.
   bool use_known_record(const std::string& name, const std::string& value);
   /// Takes replicas into use that belong to this node's part now, and others out of it.
-  void review_subset();
+  void apply_subset();
   /// @return whether the record is of a life that is over already.
-  bool is_of_earlier_life(const ReplicaRecord& record) const;
+  bool is_of_earlier_incarnation(const ReplicaRecord& record) const;
   /// The record of a replica is gone: so is the replica, at once or after its grace time.
   void drop_record(const std::string& id);
   void remove_replica(const std::string& id);
   void update_record_metrics();
   /// Gives replicas whose removal is held work, or none; see RemovalGrace.
-  void review_held();
+  void update_deferred_replicas();
   void retain_replicas(const std::vector<std::string>& ids);
   /// The log is lost or regained.
   void note_reachable(bool reachable);
@@ -160,13 +160,14 @@
   RecordServer* record_server_ = nullptr;
   bool relays_ = false;
   bool whole_ = true;
-  bool counts_told_ = false;           ///< Replicas are not counted here, but by whoever knows all.
+  bool counts_from_peer_ = false;      ///< Replicas are not counted here, but by whoever knows all.
   std::uint64_t subset_revision_ = 0;  ///< That the directory follows.
   std::uint64_t subset_widened_ = 0;   ///< That the records follow.
   RemovalGrace removal_grace_;
-  std::set<std::string> suspended_;        ///< Names that are held, and without new work.
-  std::set<std::string> lapsed_services_;  ///< Whose records lapsed together, while any are held.
-  LogOffset peer_position_ = 0;            ///< That replicas taken from a peer stand at.
+  std::set<std::string> suspended_;  ///< Names that are held, and without new work.
+  std::set<std::string>
+      mass_expired_services_;    ///< Whose records lapsed together, while any are held.
+  LogOffset peer_position_ = 0;  ///< That replicas taken from a peer stand at.
   bool replicas_known_ = false;
   TimePoint now_{};
   TimePoint started_at_{};
--- a/src/gateway/peer_link.cpp
+++ b/src/gateway/peer_link.cpp
@@ -12,10 +12,10 @@
 
 /// A caller is told of the nodes of one cell if there are so many: enough to share its connections
 /// out, and to go on if some of them die at once.
-constexpr std::size_t kFewestAddresses = 8;
+constexpr std::size_t kMinCellAddresses = 8;
 
 /// In a cell of so many nodes everybody tells everybody; beyond, relays take fewer datagrams.
-constexpr std::size_t kMostToldDirectly = 4;
+constexpr std::size_t kMaxDirectCellMembers = 4;
 
 using boost::asio::ip::udp;
 using ErrorCode = boost::system::error_code;
@@ -43,7 +43,7 @@
       addresses_(addresses),
       membership_(context.knobs, self_member(context, addresses, zone, run), run, *this),
       cell_(context.node, zone),
-      cell_relay_(context.node, zone, kMostToldDirectly),
+      cell_relay_(context.node, zone, kMaxDirectCellMembers),
       relay_(context.node, zone),
       zone_(zone),
       cell_collector_(zone),
@@ -112,7 +112,7 @@
   }
 }
 
-bool PeerLink::told_to_all() const {
+bool PeerLink::broadcasts_digests() const {
   return !cell_.divided() ||
          (context_.rate_limiter != nullptr && context_.rate_limiter->limits_any());
 }
@@ -135,7 +135,7 @@
   const std::vector<const Member*>& expected = neighbours();
   peers_reaching_log_ = static_cast<std::size_t>(
       std::count_if(expected.begin(), expected.end(),
-                    [&](const Member* member) { return said_to_reach_log(*member, now); }));
+                    [&](const Member* member) { return reports_log_reachable(*member, now); }));
   LoadDigest digest{
       own_key_,
       fleet_position_.version,
@@ -157,7 +157,7 @@
     digest.paces.clear();
     digest.pending_items = 0;
   }
-  if (!told_to_all()) {
+  if (!broadcasts_digests()) {
     relay_.set_members({});
     return;
   }
@@ -264,7 +264,7 @@
   if (member.id == context_.node) {
     return false;
   }
-  if (!told_to_all() && !cell_.contains(member.id)) {
+  if (!broadcasts_digests() && !cell_.contains(member.id)) {
     return false;  // The membership protocol alone hears it.
   }
   const auto heard = last_heard_.find(node_key(member.id));
@@ -280,7 +280,7 @@
   std::vector<std::string> all;
   // Of a cell it is known within some digests who is gone, of the others only by the membership
   // protocol, which takes seconds.
-  const bool cell_suffices = cell_.divided() && cell_.others().size() >= kFewestAddresses;
+  const bool cell_suffices = cell_.divided() && cell_.others().size() >= kMinCellAddresses;
   if (cell_suffices && !membership_.has_left()) {
     all.push_back(addresses_.frontend);
     sure = all;
@@ -336,11 +336,11 @@
 
 std::vector<std::string> PeerLink::control_addresses_reaching_log() const {
   const TimePoint now = net::steady_now();
-  return control_addresses_of(neighbours(),
-                              [&](const Member& member) { return said_to_reach_log(member, now); });
+  return control_addresses_of(
+      neighbours(), [&](const Member& member) { return reports_log_reachable(member, now); });
 }
 
-bool PeerLink::said_to_reach_log(const Member& member, TimePoint now) const {
+bool PeerLink::reports_log_reachable(const Member& member, TimePoint now) const {
   const auto told = reaches_log_.find(node_key(member.id));
   return told != reaches_log_.end() && told->second && !silent(member, now);
 }
--- a/src/gateway/peer_link.hpp
+++ b/src/gateway/peer_link.hpp
@@ -123,7 +123,7 @@
   const std::vector<const Member*>& neighbours() const;
   void update_cell();
   /// @return whether this node's digests go through relays, or to everybody.
-  bool told_to_all() const;
+  bool broadcasts_digests() const;
   void send_digest(TimePoint now);
   /// Sends a digest to those who are told of it, or collects it if that is this node.
   void tell(const LoadDigest& digest, LoadRelay& relay, DigestCollector& collector);
@@ -133,7 +133,7 @@
   /// @param bytes as received, to be passed on.
   void take_collection(std::string_view bytes, TimePoint now);
   /// @return whether the member was heard lately and has last said that it reaches the log.
-  bool said_to_reach_log(const Member& member, TimePoint now) const;
+  bool reports_log_reachable(const Member& member, TimePoint now) const;
   /// @return those of `members` that were heard lately, or all if most were not.
   std::vector<const Member*> members_heard(const std::vector<const Member*>& members,
                                            TimePoint now) const;
--- a/src/gateway/record_protocol.cpp
+++ b/src/gateway/record_protocol.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Longest wait that a question may ask for.
-constexpr std::int64_t kLongestWaitMs = 30'000;
+constexpr std::int64_t kMaxReadWaitMs = 30'000;
 
 template <class Number>
 std::optional<Number> number_of(const net::Target& target, std::string_view name) {
@@ -23,7 +23,7 @@
   return whole ? std::optional(number) : std::nullopt;
 }
 
-std::vector<PassedRecord> passed(const std::vector<KeyedRecord>& records) {
+std::vector<PassedRecord> to_passed_records(const std::vector<KeyedRecord>& records) {
   std::vector<PassedRecord> result;
   result.reserve(records.size());
   for (const KeyedRecord& record : records) {
@@ -32,7 +32,7 @@
   return result;
 }
 
-std::vector<KeyedRecord> taken(const std::vector<PassedRecord>& records) {
+std::vector<KeyedRecord> to_keyed_records(const std::vector<PassedRecord>& records) {
   std::vector<KeyedRecord> result;
   result.reserve(records.size());
   for (const PassedRecord& record : records) {
@@ -68,7 +68,7 @@
     const auto wait_ms = number_of<std::int64_t>(parsed, "wait").value_or(0);
     question.follows = true;
     question.from = *from;
-    question.wait = std::chrono::milliseconds(std::clamp<std::int64_t>(wait_ms, 0, kLongestWaitMs));
+    question.wait = std::chrono::milliseconds(std::clamp<std::int64_t>(wait_ms, 0, kMaxReadWaitMs));
     return question;
   }
   const auto after = parsed.parameter("after");
@@ -81,7 +81,7 @@
 
 RecordAnswer answer_of(const NewestOutcome& outcome) {
   RecordAnswer answer;
-  answer.records = passed(outcome.records);
+  answer.records = to_passed_records(outcome.records);
   answer.end = outcome.end;
   answer.more = outcome.more;
   return answer;
@@ -90,20 +90,21 @@
 RecordAnswer answer_of(const ReadOutcome& outcome) {
   RecordAnswer answer;
   answer.forgotten = outcome.status == LogStatus::kCompacted;
-  answer.records = passed(outcome.records);
+  answer.records = to_passed_records(outcome.records);
   answer.end = outcome.end;
   answer.next = outcome.next;
   return answer;
 }
 
 NewestOutcome newest_outcome_of(const RecordAnswer& answer) {
-  return {LogStatus::kOk, taken(answer.records), answer.more, answer.end,
+  return {LogStatus::kOk, to_keyed_records(answer.records), answer.more, answer.end,
           std::chrono::milliseconds(answer.age_ms)};
 }
 
 ReadOutcome read_outcome_of(const RecordAnswer& answer) {
-  return {answer.forgotten ? LogStatus::kCompacted : LogStatus::kOk, taken(answer.records),
-          answer.end, answer.next, std::chrono::milliseconds(answer.age_ms)};
+  return {answer.forgotten ? LogStatus::kCompacted : LogStatus::kOk,
+          to_keyed_records(answer.records), answer.end, answer.next,
+          std::chrono::milliseconds(answer.age_ms)};
 }
 
 }  // namespace dockpoint
--- a/src/gateway/record_server.cpp
+++ b/src/gateway/record_server.cpp
@@ -8,20 +8,20 @@
 namespace dockpoint {
 
 void RecordServer::keep(const TopicPartition& partition, bool parts) {
-  kept_[partition].parts = parts;
+  cached_partitions_[partition].parts = parts;
 }
 
 void RecordServer::replace(const TopicPartition& partition, const std::vector<KeyedRecord>& records,
                            LogOffset end) {
-  const auto kept = kept_.find(partition);
-  if (kept != kept_.end()) {
+  const auto kept = cached_partitions_.find(partition);
+  if (kept != cached_partitions_.end()) {
     kept->second.records.replace(records, end);
   }
 }
 
 void RecordServer::add(const TopicPartition& partition, const KeyedRecord& record) {
-  const auto kept = kept_.find(partition);
-  if (kept != kept_.end() && kept->second.records.loaded()) {
+  const auto kept = cached_partitions_.find(partition);
+  if (kept != cached_partitions_.end() && kept->second.records.loaded()) {
     kept->second.records.add(record);
   }
 }
@@ -31,7 +31,7 @@
 }
 
 RecordCache::Filter RecordServer::filter_of(const RecordQuestion& question,
-                                            const Kept& kept) const {
+                                            const CachedPartition& kept) const {
   if (question.whole || !kept.parts) {
     return {};
   }
@@ -40,7 +40,7 @@
   };
 }
 
-void RecordServer::respond(const net::ExchangePtr& exchange, const Kept& kept,
+void RecordServer::respond(const net::ExchangePtr& exchange, const CachedPartition& kept,
                            const RecordQuestion& question, RecordAnswer answer) {
   answer.age_ms = static_cast<std::uint64_t>(to_ms(standing_(question.partition).age));
   if (kept.parts && !question.whole) {
@@ -57,8 +57,8 @@
     exchange->respond(400, {}, {});
     return;
   }
-  const auto kept = kept_.find(question->partition);
-  if (kept == kept_.end() || !kept->second.records.loaded()) {
+  const auto kept = cached_partitions_.find(question->partition);
+  if (kept == cached_partitions_.end() || !kept->second.records.loaded()) {
     refuse(exchange);
     return;
   }
@@ -68,21 +68,21 @@
             answer_of(records.newest(question->after_key, filter_of(*question, kept->second))));
     return;
   }
-  const Waiting waiting{exchange, *question, exchange->received() + question->wait};
+  const WaitingRead waiting{exchange, *question, exchange->received() + question->wait};
   if (try_read(waiting, exchange->received())) {
     return;
   }
-  if (waiting_.size() >= kMostWaiting) {
+  if (waiting_.size() >= kMaxWaitingReads) {
     refuse(exchange);
     return;
   }
   waiting_.push_back(waiting);
 }
 
-bool RecordServer::try_read(const Waiting& waiting, TimePoint now) {
-  const auto kept = kept_.find(waiting.question.partition);
+bool RecordServer::try_read(const WaitingRead& waiting, TimePoint now) {
+  const auto kept = cached_partitions_.find(waiting.question.partition);
   const bool vouches = standing_(waiting.question.partition).state == WatchState::kFollowing;
-  if (kept == kept_.end() || !kept->second.records.loaded() || !vouches) {
+  if (kept == cached_partitions_.end() || !kept->second.records.loaded() || !vouches) {
     refuse(waiting.exchange);
     return true;
   }
@@ -102,7 +102,7 @@
 }
 
 void RecordServer::tick(TimePoint now) {
-  waiting_.remove_if([&](const Waiting& waiting) { return try_read(waiting, now); });
+  waiting_.remove_if([&](const WaitingRead& waiting) { return try_read(waiting, now); });
 }
 
 }  // namespace dockpoint
--- a/src/gateway/record_server.hpp
+++ b/src/gateway/record_server.hpp
@@ -27,7 +27,7 @@
   using Belongs = std::function<bool(std::uint64_t node_hash, const KeyedRecord&)>;
 
   /// Reads that wait at once; further ones are refused, and go to another node.
-  static constexpr std::size_t kMostWaiting = 512;
+  static constexpr std::size_t kMaxWaitingReads = 512;
 
   RecordServer(Standing standing, Belongs belongs,
                std::function<std::vector<ReplicaCount>()> counts)
@@ -36,7 +36,7 @@
   /// Starts to keep, or forgets, the records of a partition.
   /// @param parts whether nodes read a part of them.
   void keep(const TopicPartition& partition, bool parts);
-  void forget(const TopicPartition& partition) { kept_.erase(partition); }
+  void forget(const TopicPartition& partition) { cached_partitions_.erase(partition); }
 
   // What this node learns of its partitions; nothing happens for one that is not kept.
   void replace(const TopicPartition& partition, const std::vector<KeyedRecord>& records,
@@ -50,28 +50,28 @@
   void tick(TimePoint now);
 
  private:
-  struct Kept {
+  struct CachedPartition {
     RecordCache records;
     bool parts = false;
   };
-  struct Waiting {
+  struct WaitingRead {
     net::ExchangePtr exchange;
     RecordQuestion question;
     TimePoint until{};
   };
 
   static void refuse(const net::ExchangePtr& exchange);
-  RecordCache::Filter filter_of(const RecordQuestion& question, const Kept& kept) const;
-  void respond(const net::ExchangePtr& exchange, const Kept& kept, const RecordQuestion& question,
-               RecordAnswer answer);
+  RecordCache::Filter filter_of(const RecordQuestion& question, const CachedPartition& kept) const;
+  void respond(const net::ExchangePtr& exchange, const CachedPartition& kept,
+               const RecordQuestion& question, RecordAnswer answer);
   /// @return whether the read was answered or refused.
-  bool try_read(const Waiting& waiting, TimePoint now);
+  bool try_read(const WaitingRead& waiting, TimePoint now);
 
   const Standing standing_;
   const Belongs belongs_;
   const std::function<std::vector<ReplicaCount>()> counts_;
-  std::map<TopicPartition, Kept> kept_;
-  std::list<Waiting> waiting_;
+  std::map<TopicPartition, CachedPartition> cached_partitions_;
+  std::list<WaitingRead> waiting_;
 };
 
 }  // namespace dockpoint
--- a/src/gateway/relayed_log.cpp
+++ b/src/gateway/relayed_log.cpp
@@ -13,7 +13,7 @@
 
 /// Behind every key that a replica registers under: a load from here on tells where the partition
 /// ends, and brings nothing.
-constexpr const char* kBehindAllKeys = "~~~~";
+constexpr const char* kAfterAllKeys = "~~~~";
 
 constexpr int kOk = 200;
 
@@ -21,7 +21,7 @@
 
 RelayedLog::RelayedLog(boost::asio::io_context& loop, net::HttpClient& client, PartitionedLog& log,
                        std::vector<TopicPartition> relayed, const std::string& node,
-                       std::string zone, Duration bound, CountsTold on_counts)
+                       std::string zone, Duration bound, CountsReceived on_counts)
     : loop_(loop),
       client_(client),
       log_(log),
@@ -40,8 +40,8 @@
 }
 
 void RelayedLog::others_run() {
-  if (others_run_since_ == TimePoint{}) {
-    others_run_since_ = net::steady_now();
+  if (running_peer_since_ == TimePoint{}) {
+    running_peer_since_ = net::steady_now();
   }
 }
 
@@ -61,9 +61,9 @@
 }
 
 void RelayedLog::tick(TimePoint now) {
-  const bool told = members_known_ > 1 && others_run_since_ != TimePoint{} &&
-                    now - others_run_since_ >= kMembersTold;
-  if (phase_ == Phase::kHolding && (told || now - relaying_since_ >= kStartHold)) {
+  const bool told = members_known_ > 1 && running_peer_since_ != TimePoint{} &&
+                    now - running_peer_since_ >= kMembershipPropagation;
+  if (phase_ == Phase::kHolding && (told || now - relaying_since_ >= kStartDelay)) {
     phase_ = Phase::kRelaying;
     sources_.succeeded(now);
     spdlog::info("fleet: records are read from other nodes passesOn={} heldMs={}", passes_on(),
@@ -72,12 +72,12 @@
   if (phase_ != Phase::kDirect && phase_ != Phase::kRelaying) {
     return;
   }
-  std::vector<Held> held = std::exchange(held_, {});
-  for (Held& entry : held) {
+  std::vector<DelayedCall> held = std::exchange(delayed_calls_, {});
+  for (DelayedCall& entry : held) {
     if (now >= entry.at) {
       entry.call();
     } else {
-      held_.push_back(std::move(entry));
+      delayed_calls_.push_back(std::move(entry));
     }
   }
 }
@@ -86,14 +86,14 @@
   return std::find(relayed_.begin(), relayed_.end(), partition) != relayed_.end();
 }
 
-void RelayedLog::ask_size() {
+void RelayedLog::query_partition_size() {
   relaying_since_ = net::steady_now();
   if (!others_expected_) {
     phase_ = Phase::kDirect;
     return;
   }
   phase_ = Phase::kAsking;
-  log_.newest(relayed_.front(), kBehindAllKeys, [this, alive = alive_](const NewestOutcome& size) {
+  log_.newest(relayed_.front(), kAfterAllKeys, [this, alive = alive_](const NewestOutcome& size) {
     if (!*alive) {
       return;
     }
@@ -106,7 +106,7 @@
 }
 
 void RelayedLog::hold(Duration delay, std::function<void()> call) {
-  held_.push_back({net::steady_now() + delay, std::move(call)});
+  delayed_calls_.push_back({net::steady_now() + delay, std::move(call)});
 }
 
 bool RelayedLog::relays_partition(const TopicPartition& partition) const {
@@ -151,7 +151,7 @@
 void RelayedLog::newest(const TopicPartition& partition, const std::string& after_key,
                         std::function<void(NewestOutcome)> done) {
   if (phase_ == Phase::kUnknown) {
-    ask_size();
+    query_partition_size();
   }
   if (phase_ == Phase::kDirect || !is_relayed(partition)) {
     log_.newest(partition, after_key, std::move(done));
@@ -171,7 +171,7 @@
   const TimePoint now = net::steady_now();
   const std::optional<std::string> address =
       relays_partition(partition) ? sources_.next(now) : std::nullopt;
-  const bool patient = now - relaying_since_ < kLoadPatience;
+  const bool patient = now - relaying_since_ < kLoadRetryPeriod;
   if (!address && (!patient || sources_.has_no_sources())) {
     log_.newest(partition, after_key, std::move(done));
     return;
@@ -183,7 +183,7 @@
   }
   RecordQuestion question{partition, node_, passes_on()};
   question.after_key = after_key;
-  ask_source(*address, question, kPageLimit,
+  ask_source(*address, question, kPageTimeout,
              [this, address, again, done](const std::optional<RecordAnswer>& answer, bool refused) {
                if (answer) {
                  done(newest_outcome_of(*answer));
--- a/src/gateway/relayed_log.hpp
+++ b/src/gateway/relayed_log.hpp
@@ -35,23 +35,23 @@
   /// that runs has all records, and tells them when it is asked for its state.
   static constexpr std::size_t kRelayingMembers = 128;
   /// The first load waits so long for other nodes to be known: their second round of probes.
-  static constexpr Duration kStartHold = std::chrono::milliseconds(1'500);
+  static constexpr Duration kStartDelay = std::chrono::milliseconds(1'500);
   /// A node that runs tells of all members within this time: 62 datagrams for 986.
-  static constexpr Duration kMembersTold = std::chrono::milliseconds(200);
+  static constexpr Duration kMembershipPropagation = std::chrono::milliseconds(200);
   /// After its start a node asks one that is loading again, for as long as this.
-  static constexpr Duration kLoadPatience = std::chrono::seconds(5);
+  static constexpr Duration kLoadRetryPeriod = std::chrono::seconds(5);
   static constexpr Duration kLoadRetry = std::chrono::milliseconds(100);
   /// Of a page from another node; 150 KB take 0.1 s at 30 Mbit/s, and 32 nodes may ask at once.
-  static constexpr Duration kPageLimit = std::chrono::seconds(2);
+  static constexpr Duration kPageTimeout = std::chrono::seconds(2);
 
-  using CountsTold = std::function<void(const std::vector<ReplicaCount>&)>;
+  using CountsReceived = std::function<void(const std::vector<ReplicaCount>&)>;
 
   /// @param relayed the partitions whose records are passed on; the first one tells the fleet's
   /// size.
   /// @param node,zone of this node.
   RelayedLog(boost::asio::io_context& loop, net::HttpClient& client, PartitionedLog& log,
              std::vector<TopicPartition> relayed, const std::string& node, std::string zone,
-             Duration bound, CountsTold on_counts);
+             Duration bound, CountsReceived on_counts);
   ~RelayedLog() override;
 
   /// @param expected whether there may be other nodes.
@@ -99,13 +99,13 @@
     kDirect,    ///< Everything comes from the log.
     kRelaying,  ///< Records come from other nodes.
   };
-  struct Held {
+  struct DelayedCall {
     TimePoint at{};
     std::function<void()> call;
   };
 
   bool is_relayed(const TopicPartition& partition) const;
-  void ask_size();
+  void query_partition_size();
   void hold(Duration delay, std::function<void()> call);
   bool relays_partition(const TopicPartition& partition) const;
   void read_from_log(const TopicPartition& partition, LogOffset from, const ReadTimes& times,
@@ -123,14 +123,14 @@
   PartitionedLog& log_;
   const std::vector<TopicPartition> relayed_;
   const std::string node_;
-  const CountsTold on_counts_;
+  const CountsReceived on_counts_;
   RecordSources sources_;
   Phase phase_ = Phase::kUnknown;
   bool others_expected_ = false;
   std::size_t members_known_ = 0;
-  TimePoint others_run_since_{};  ///< Zero: none was heard that did.
-  TimePoint relaying_since_{};    ///< Or since when it may be.
-  std::vector<Held> held_;
+  TimePoint running_peer_since_{};  ///< Zero: none was heard that did.
+  TimePoint relaying_since_{};      ///< Or since when it may be.
+  std::vector<DelayedCall> delayed_calls_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  ///< For calls that outlive it.
 };
 
--- a/tests/gateway/freshness_exploration_test.cpp
+++ b/tests/gateway/freshness_exploration_test.cpp
@@ -41,7 +41,7 @@
 /// A node counts as in touch again this long after the last failure that touched it.
 constexpr std::int64_t kSettleMs = 3'000;
 /// Reads and pages a second that a node may ask of the log, over a second.
-constexpr std::size_t kMostCallsASecond = 24;
+constexpr std::size_t kMaxCallsPerSecond = 24;
 constexpr std::uint64_t kSeedsInCi = 120;
 
 const std::string kConfigurationKey = "config";
@@ -163,8 +163,8 @@
 };
 
 /// One life of a node.
-struct NodeLife : test::GatewaySurroundings {
-  NodeLife(MemoryLog& log, const Knobs& node_knobs, std::uint64_t seed)
+struct NodeRun : test::GatewaySurroundings {
+  NodeRun(MemoryLog& log, const Knobs& node_knobs, std::uint64_t seed)
       : GatewaySurroundings(node_knobs),
         catch_up(FreshnessBudget{node_knobs.freshness_bound}, seed),
         link(log),
@@ -177,7 +177,7 @@
 };
 
 struct Node {
-  std::unique_ptr<NodeLife> life;
+  std::unique_ptr<NodeRun> life;
   LinkFault link = LinkFault::kNone;
   bool peers_cut = false;  ///< Its digests and questions are lost.
   bool frozen = false;
@@ -338,7 +338,7 @@
     const bool lost = node.peers_cut || nodes_[peer].peers_cut || nodes_[peer].frozen;
     constexpr std::int64_t kAnswerMs = 10;
     const auto limit = to_ms(FreshnessBudget{setup_.knobs.freshness_bound}.question_limit());
-    const NodeLife* const asked_in = node.life.get();
+    const NodeRun* const asked_in = node.life.get();
     later(lost ? limit : kAnswerMs, [this, index, peer, lost, asked_in] {
       Node& asker = nodes_[index];
       if (asker.life.get() != asked_in) {
@@ -353,7 +353,7 @@
 
   void restart(std::size_t index) {
     Node& node = nodes_[index];
-    node.life = std::make_unique<NodeLife>(log_, setup_.knobs, random_());
+    node.life = std::make_unique<NodeRun>(log_, setup_.knobs, random_());
     node.life->link.advance(at(now_));
     node.life->link.set_fault(node.link);
     node.version_seen = 0;
@@ -573,7 +573,7 @@
   void check_calls(std::size_t index) {
     Node& node = nodes_[index];
     const std::size_t calls = node.life->link.calls();
-    if (calls > node.calls_before + kMostCallsASecond) {
+    if (calls > node.calls_before + kMaxCallsPerSecond) {
       ++findings_.too_many_calls;
       note(index, "asked the log " + std::to_string(calls - node.calls_before) + " times a second");
     }
