--- a/src/gateway/fleet_state.hpp
+++ b/src/gateway/fleet_state.hpp
@@ -11,44 +11,46 @@
 
 namespace dockpoint {
 
-/// A replica's record as it lies in the log.
+/// A replica's record as stored in the log.
 struct StoredReplica {
   std::string id;
   std::string value;
   DOCKPOINT_FIELDS(id, value)
 };
 
-/// What one node tells another that asks for it: at its start, or behind the others.
+/// The fleet state that a node sends to a peer that asks for it: one that has just started, or that
+/// is behind the others.
 struct FleetState {
-  std::uint64_t version = 0;  ///< Of the configuration; 0: none.
+  std::uint64_t version = 0;  ///< Configuration version; 0: none.
   std::string configuration;  ///< The record's value.
   bool replicas_known = false;
-  LogOffset replicas_position = 0;  ///< Offset up to which the replicas' records were read.
+  LogOffset replicas_position = 0;  ///< Offset up to which the replica records were read.
   std::vector<StoredReplica> replicas;
-  std::map<int, std::string> owners;  ///< Control addresses of the owners of partitions.
+  std::map<int, std::string> owners;  ///< Control address of each partition's owner.
   LogOffset operator_position = 0;    ///< Offset up to which the operator's records were read.
   std::vector<std::string> evacuated_zones;
   DOCKPOINT_FIELDS(version, configuration, replicas_known, replicas_position, replicas, owners,
                    operator_position, evacuated_zones)
 };
 
-/// How far a node's knowledge of the fleet reaches.
+/// The version and log positions up to which a node knows the fleet.
 struct FleetKnowledge {
-  std::uint64_t version = 0;  ///< Of the configuration; 0: none.
+  std::uint64_t version = 0;  ///< Configuration version; 0: none.
   bool replicas_known = false;
   LogOffset replicas_position = 0;
   LogOffset operator_position = 0;  ///< As in `FleetState`.
 };
 
-/// Path of the question that nodes ask each other.
+/// Path of the requests by which nodes ask each other for their fleet state.
 inline constexpr std::string_view kFleetStatePath = "/dockpoint/state";
 
-/// @return the target of the question of a node that knows so much.
+/// @return the request target for a node that already has `known`.
 std::string fleet_state_target(const FleetKnowledge& known);
-/// @return what the node that asks knows already; nothing as far as the target does not tell.
+/// @return the knowledge of the requesting node; parameters missing from the target count as
+/// unknown.
 FleetKnowledge asker_knowledge(std::string_view target);
-/// Drops what a node that knows so much need not be told: a fleet of thousands of replicas would
-/// otherwise be sent whole for each change of the configuration.
+/// Drops the parts that the requesting node already has. Without this, every configuration change
+/// would send a fleet of thousands of replicas in full.
 void leave_out_known(FleetState& state, const FleetKnowledge& known);
 
 }  // namespace dockpoint
--- a/src/gateway/record_protocol.hpp
+++ b/src/gateway/record_protocol.hpp
@@ -10,24 +10,25 @@
 #include "dockpoint/log/partitioned_log.hpp"
 #include "dockpoint/routing/replica_subset.hpp"
 
-/// How nodes read the fleet's records from each other.
+/// Protocol by which nodes read the fleet's records from each other.
 namespace dockpoint {
 
-/// Path of the question.
+/// Path of record requests.
 inline constexpr std::string_view kRecordsPath = "/dockpoint/records";
 
-/// What a node asks another one.
+/// A request for records to another node.
 struct RecordQuestion {
   TopicPartition partition;
-  std::string node;         ///< That asks.
-  bool whole = false;       ///< It wants the records of all replicas, not its part alone.
-  bool follows = false;     ///< It reads from an offset on; otherwise it loads the newest records.
-  LogOffset from = 0;       ///< Of a read.
-  Duration wait{};          ///< Of a read: for a record, where there is none yet.
-  std::string after_key{};  ///< Of a load.
+  std::string node;  ///< Name of the requesting node.
+  bool whole =
+      false;  ///< Requests the records of all replicas, not only those of the requester's subset.
+  bool follows = false;  ///< True: a read from an offset on. False: a load of the newest records.
+  LogOffset from = 0;    ///< Read: first offset.
+  Duration wait{};       ///< Read: longest wait for a record if there is none yet.
+  std::string after_key{};  ///< Load: key after which to continue.
 };
 
-/// One record in an answer.
+/// One record in a response.
 struct PassedRecord {
   std::string key;
   std::string value;
@@ -35,28 +36,30 @@
   DOCKPOINT_FIELDS(key, value, offset)
 };
 
-/// The answer.
+/// The response to a record request.
 struct RecordAnswer {
-  bool forgotten = false;  ///< The records asked for are not known any more: load anew.
+  bool forgotten =
+      false;  ///< The requested records are no longer retained; the reader must load again.
   std::vector<PassedRecord> records;
   LogOffset end = 0;
-  LogOffset next = 0;                ///< Of a read: where to read on; 0: behind the last record.
-  bool more = false;                 ///< Of a load: ask again from the last key.
-  std::uint64_t age_ms = 0;          ///< Since the log confirmed what the answer says.
-  std::vector<ReplicaCount> counts;  ///< Of all replicas, where the answer holds a part of them.
+  LogOffset next = 0;        ///< Read: offset to continue from; 0: after the last record.
+  bool more = false;         ///< Load: more records follow after the last key.
+  std::uint64_t age_ms = 0;  ///< Time since the log confirmed these records.
+  std::vector<ReplicaCount>
+      counts;  ///< Counts of all replicas, if the response holds only a subset of them.
   DOCKPOINT_FIELDS(forgotten, records, end, next, more, age_ms, counts)
 };
 
-/// @return the target of a question.
+/// @return the request target for a question.
 std::string record_target(const RecordQuestion& question);
-/// @return the question, or nothing if the target does not hold one.
+/// @return the parsed question, or nothing if the target is malformed.
 std::optional<RecordQuestion> read_record_target(std::string_view target);
 
-/// @return an answer to a load or a read, without counts.
+/// @return the response for the outcome of a load or a read, without counts.
 RecordAnswer answer_of(const NewestOutcome& outcome);
 RecordAnswer answer_of(const ReadOutcome& outcome);
 
-/// @return what an answer says, whose records must be in the order of their offsets for a read.
+/// @return the outcome that a response describes. For a read its records must be ordered by offset.
 NewestOutcome newest_outcome_of(const RecordAnswer& answer);
 ReadOutcome read_outcome_of(const RecordAnswer& answer);
 
--- a/src/gateway/record_server.hpp
+++ b/src/gateway/record_server.hpp
@@ -12,41 +12,41 @@
 
 namespace dockpoint {
 
-/// Answers other nodes that read the fleet's records from this one; see
-/// membership/record_sources.hpp for who does.
+/// Serves the fleet's records to other nodes; see membership/record_sources.hpp for how they choose
+/// their source.
 ///
-/// A read waits here until there is a record, or its time is up. A node that cannot vouch for what
-/// it knows refuses reads at once, those that wait included, so that nobody waits behind a node
-/// that has lost the log. It still answers loads: a node that starts while the log is away gets
-/// what there is, and its age. Single-threaded.
+/// A read waits here until there is a record or its wait has expired. A node whose view is not
+/// confirmed by the log refuses reads at once, including waiting ones, so that no reader waits on a
+/// node that has lost the log. It still answers loads: a node that starts during a log outage gets
+/// the known records and their age. Single-threaded.
 class RecordServer {
  public:
-  /// How this node stands to a partition, and the age of what it knows of it.
+  /// Returns the watch state and age of this node's view of a partition.
   using Standing = std::function<WatchAge(const TopicPartition&)>;
-  /// @return whether a record belongs to the part of a node.
+  /// @return whether a record belongs to the subset of a node.
   using Belongs = std::function<bool(std::uint64_t node_hash, const KeyedRecord&)>;
 
-  /// Reads that wait at once; further ones are refused, and go to another node.
+  /// Limit of concurrently waiting reads; further ones are refused and go to another node.
   static constexpr std::size_t kMaxWaitingReads = 512;
 
   RecordServer(Standing standing, Belongs belongs,
                std::function<std::vector<ReplicaCount>()> counts)
       : standing_(std::move(standing)), belongs_(std::move(belongs)), counts_(std::move(counts)) {}
 
-  /// Starts to keep, or forgets, the records of a partition.
-  /// @param parts whether nodes read a part of them.
+  /// Starts or stops caching the records of a partition.
+  /// @param parts whether nodes read only their subset of them.
   void keep(const TopicPartition& partition, bool parts);
   void forget(const TopicPartition& partition) { cached_partitions_.erase(partition); }
 
-  // What this node learns of its partitions; nothing happens for one that is not kept.
+  // Records that this node has read; ignored for partitions that are not cached.
   void replace(const TopicPartition& partition, const std::vector<KeyedRecord>& records,
                LogOffset end);
   void add(const TopicPartition& partition, const KeyedRecord& record);
 
-  /// Answers a question, now or later.
+  /// Answers a record request, at once or when records arrive.
   void serve(const net::ExchangePtr& exchange);
-  /// Answers reads whose records have come or whose time is up; call after news, and several times
-  /// a second.
+  /// Answers reads whose records have arrived or whose wait has expired; call after new records and
+  /// several times a second.
   void tick(TimePoint now);
 
  private:
--- a/src/gateway/relayed_log.hpp
+++ b/src/gateway/relayed_log.hpp
@@ -12,65 +12,66 @@
 
 namespace dockpoint {
 
-/// The log as a node of a large fleet reads it: its records come from other nodes where these have
-/// them, see membership/record_sources.hpp. Writes and groups pass through.
+/// The log as seen by a node of a large fleet: records of the relayed partitions come from other
+/// nodes where possible, see membership/record_sources.hpp. Writes and group calls pass through.
 ///
-/// Start: a node does not know yet how large its fleet is, and nodes that all start at once and all
-/// load thousands of records from the log hold each other up for longer than a fleet may take to
-/// come back. So the first load asks the log where the replicas' partition ends, which costs one
-/// small call. If it has seen few records the fleet is small, and nothing is held. Otherwise the
-/// load waits until the other nodes of the zone are known, or for a short time.
+/// Startup: a node does not know the size of its fleet yet, and nodes that all start at once and
+/// each load thousands of records from the log delay each other for longer than a fleet may take to
+/// recover. So before the first load the node asks the log for the end offset of the replica
+/// partition, which is one small call. With few records the fleet is small, and nothing is delayed.
+/// Otherwise the load waits until the other nodes of the zone are known, or for a short time.
 ///
-/// A read that finds no source, and may not go to the log yet, is refused, and asked again by
-/// whoever follows. Single-threaded; borrows loop, client and log.
+/// A read that finds no source and may not go to the log yet is refused; the follower retries it.
+/// Single-threaded; borrows loop, client and log.
 class RelayedLog : public PartitionedLog {
  public:
-  /// A partition with fewer records than this is read from the log by every node: 200 KB at 250
-  /// nodes are 50 MB for the whole fleet.
+  /// Every node reads a partition with fewer records than this from the log: 200 KB at 250 nodes
+  /// are 50 MB for the whole fleet.
   static constexpr LogOffset kRelayedRecords = 2'000;
-  /// Replicas times nodes from which on records are passed on: 100,000 records are 25 MB, which the
-  /// log hands out in 0.3 s. Below half of it they are no more.
+  /// Replicas times nodes from which on records are relayed: 100,000 records are 25 MB, which the
+  /// log serves in 0.3 s. Relaying ends below half of this value.
   static constexpr std::size_t kRelayedReads = 100'000;
-  /// So many nodes are taken for a large fleet if the log does not say: in smaller ones any node
-  /// that runs has all records, and tells them when it is asked for its state.
+  /// Number of members from which on the fleet counts as large if the log does not answer: in
+  /// smaller fleets every running node has all records and includes them in its fleet state.
   static constexpr std::size_t kRelayingMembers = 128;
-  /// The first load waits so long for other nodes to be known: their second round of probes.
+  /// Longest delay of the first load until other nodes are known: their second round of probes.
   static constexpr Duration kStartDelay = std::chrono::milliseconds(1'500);
-  /// A node that runs tells of all members within this time: 62 datagrams for 986.
+  /// Time within which a running node sends the whole membership: 62 datagrams for 986 members.
   static constexpr Duration kMembershipPropagation = std::chrono::milliseconds(200);
-  /// After its start a node asks one that is loading again, for as long as this.
+  /// Period after the start in which a node retries sources that are still loading.
   static constexpr Duration kLoadRetryPeriod = std::chrono::seconds(5);
   static constexpr Duration kLoadRetry = std::chrono::milliseconds(100);
-  /// Of a page from another node; 150 KB take 0.1 s at 30 Mbit/s, and 32 nodes may ask at once.
+  /// Timeout of a page from another node; 150 KB take 0.1 s at 30 Mbit/s, and 32 nodes may ask at
+  /// once.
   static constexpr Duration kPageTimeout = std::chrono::seconds(2);
 
   using CountsReceived = std::function<void(const std::vector<ReplicaCount>&)>;
 
-  /// @param relayed the partitions whose records are passed on; the first one tells the fleet's
-  /// size.
+  /// @param relayed partitions whose records are relayed; the end offset of the first one indicates
+  /// the size of the fleet.
   /// @param node,zone of this node.
   RelayedLog(boost::asio::io_context& loop, net::HttpClient& client, PartitionedLog& log,
              std::vector<TopicPartition> relayed, const std::string& node, std::string zone,
              Duration bound, CountsReceived on_counts);
   ~RelayedLog() override;
 
-  /// @param expected whether there may be other nodes.
+  /// @param expected whether other nodes may exist.
   void expect_others(bool expected) { others_expected_ = expected; }
-  /// Takes the nodes that are alive, whenever they have changed.
+  /// Sets the live nodes; call whenever they change.
   void set_members(const std::vector<const Member*>& alive);
-  /// Takes how many replicas there are: where they and the nodes are many, records are passed on.
+  /// Sets the number of replicas. Records are relayed if there are many replicas and nodes.
   void set_replicas(std::size_t replicas);
-  /// Starts calls that were held; call several times a second.
+  /// Starts delayed calls that are due; call several times a second.
   void tick(TimePoint now);
 
-  /// Another node was heard that runs already: it knows who belongs to the fleet.
+  /// Called when a running node was heard, which knows the members of the fleet.
   void others_run();
-  /// @return whether this node asks its peers for all records where it is behind: in a large fleet
-  /// that is megabytes, and they come in parts.
+  /// @return whether this node asks its peers for their whole fleet state when it is behind. In a
+  /// large fleet that is megabytes, so records are fetched in pages instead.
   bool direct() const { return phase_ != Phase::kHolding && phase_ != Phase::kRelaying; }
-  /// @return whether records are passed on between nodes.
+  /// @return whether records are relayed between nodes.
   bool relays() const { return phase_ == Phase::kRelaying; }
-  /// @return whether this node reads all records, and answers others.
+  /// @return whether this node reads all records and serves them to others.
   bool passes_on() const { return sources_.passes_on(); }
 
   const LogLimits& limits() const override { return log_.limits(); }
@@ -93,9 +94,9 @@
 
  private:
   enum class Phase {
-    kUnknown,   ///< How large the fleet is has not been asked.
-    kAsking,    ///< The log has been asked.
-    kHolding,   ///< It is large; other nodes are not known yet.
+    kUnknown,   ///< The size of the fleet has not been queried.
+    kAsking,    ///< The query to the log is under way.
+    kHolding,   ///< The fleet is large; other nodes are not known yet.
     kDirect,    ///< Everything comes from the log.
     kRelaying,  ///< Records come from other nodes.
   };
@@ -110,7 +111,7 @@
   bool relays_partition(const TopicPartition& partition) const;
   void read_from_log(const TopicPartition& partition, LogOffset from, const ReadTimes& times,
                      std::function<void(ReadOutcome)> done);
-  /// Reads from a source; from others, without a wait, if that fails.
+  /// Reads from a source; if that fails, from further sources without a wait.
   void read_from_source(const TopicPartition& partition, LogOffset from, const ReadTimes& times,
                         int tries, std::function<void(ReadOutcome)> done);
   void ask_source(const std::string& address, const RecordQuestion& question, Duration limit,
@@ -128,10 +129,11 @@
   Phase phase_ = Phase::kUnknown;
   bool others_expected_ = false;
   std::size_t members_known_ = 0;
-  TimePoint running_peer_since_{};  ///< Zero: none was heard that did.
-  TimePoint relaying_since_{};      ///< Or since when it may be.
+  TimePoint running_peer_since_{};  ///< Zero: no running peer was heard.
+  TimePoint relaying_since_{};      ///< Start of relaying, or of the size query that precedes it.
   std::vector<DelayedCall> delayed_calls_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  ///< For calls that outlive it.
+  std::shared_ptr<bool> alive_ =
+      std::make_shared<bool>(true);  ///< For callbacks that outlive this object.
 };
 
 }  // namespace dockpoint
