--- a/src/gateway/fleet_watch.cpp
+++ b/src/gateway/fleet_watch.cpp
@@ -10,7 +10,7 @@
 
 namespace dockpoint {
 
-/// Follows one topic and hands its records on.
+/// Follows one topic and forwards its records.
 class FleetWatch::Follower : public KeyedWatchObserver {
  public:
   using Snapshot = std::function<void(const std::vector<KeyedRecord>&)>;
@@ -72,7 +72,7 @@
           record_server_->replace(topics_.replicas, records, position);
         }
         if (replicas_known_ && position < peer_position_) {
-          return;  // A page from before what a peer has told.
+          return;  // The page is older than the state taken from a peer.
         }
         std::vector<std::string> ids;
         for (const KeyedRecord& record : records) {
@@ -105,11 +105,11 @@
     started_at_ = now;
   }
   now_ = now;
-  // Whoever reads from others is not told by its peers that it is behind: it waits like a lone
-  // node.
-  const std::size_t telling = relays_ ? 0 : peers;
-  configuration_follower_->tick(now, telling);
-  replica_follower_->tick(now, telling);
+  // Peers do not notify a node that reads from other nodes when it is behind, so it waits as a lone
+  // node does.
+  const std::size_t reporting_peers = relays_ ? 0 : peers;
+  configuration_follower_->tick(now, reporting_peers);
+  replica_follower_->tick(now, reporting_peers);
   for (const std::string& id : removal_grace_.take_expired(now)) {
     remove_replica(id);
   }
@@ -132,7 +132,7 @@
   for (const auto& [id, replica] : context_.replicas.all()) {
     const std::string& name = replica.record.registered_name();
     if (replica.record.draining && !suspended_.contains(name)) {
-      continue;  // Its record was expected to go.
+      continue;  // The removal of its record was expected.
     }
     Count& count = services[replica.record.service];
     ++count.known;
@@ -159,7 +159,7 @@
   }
   for (const ReplicaRecord& record : changed) {
     spdlog::info("fleet: replica without a record {} replica={}",
-                 record.draining ? "gets no work" : "gets work again", record.id);
+                 record.draining ? "suspended from new work" : "resumed for new work", record.id);
     context_.replicas.upsert(record, net::steady_now());
   }
 }
@@ -213,7 +213,7 @@
 void FleetWatch::log_evacuations(bool changed, const std::string& source) {
   if (changed) {
     const ZoneEvacuations& evacuations = context_.replicas.evacuations();
-    spdlog::info("fleet: evacuated zones=[{}] position={} source={}",
+    spdlog::info("fleet: zone evacuations changed zones=[{}] position={} source={}",
                  fmt::join(evacuations.zones(), ","), evacuations.position(), source);
   }
 }
@@ -231,13 +231,13 @@
   std::optional<RoutingConfiguration> read =
       value_or_problem([&] { return reader_.read_configuration(value); }, problem);
   if (!read) {
-    spdlog::error("fleet: configuration cannot be read source={} why=\"{}\"", source, problem);
+    spdlog::error("fleet: configuration record is malformed source={} why=\"{}\"", source, problem);
     return;
   }
   if (read->version <= context_.configuration->version) {
     return;
   }
-  spdlog::info("fleet: configuration in force version={} before={} source={} routes={}",
+  spdlog::info("fleet: configuration applied version={} before={} source={} routes={}",
                read->version, context_.configuration->version, source, read->routes.size());
   configuration_value_ = value;
   context_.configuration = std::make_shared<RoutingConfiguration>(std::move(*read));
@@ -260,7 +260,7 @@
     return;
   }
   if (is_of_earlier_incarnation(*record)) {
-    spdlog::info("fleet: record of an earlier life ignored replica={}", record->id);
+    spdlog::info("fleet: record of an earlier incarnation ignored replica={}", record->id);
     return;
   }
   const TimePoint now = net::steady_now();
@@ -269,7 +269,7 @@
   const bool used_before = !before.empty() && context_.replicas.find(before) != nullptr;
   if (!before.empty() && before != record->id) {
     if (used_before) {
-      spdlog::info("fleet: replica has started again replica={} before={}", record->id, before);
+      spdlog::info("fleet: replica restarted replica={} before={}", record->id, before);
     }
     context_.replicas.end_incarnation(before, now);
   }
@@ -329,14 +329,14 @@
     }
   }
   const Duration bound = context_.knobs.freshness_bound;
-  // News take two steps more, each of which may wait for the pause between two reads.
-  const Duration left = relays ? bound * 3 / 4 : bound;
-  configuration_follower_->set_bound(left);
-  replica_follower_->set_bound(left);
+  // Relayed records take two more steps, each of which may wait for the pause between two reads.
+  const Duration read_bound = relays ? bound * 3 / 4 : bound;
+  configuration_follower_->set_bound(read_bound);
+  replica_follower_->set_bound(read_bound);
   if (passes_on) {
     configuration_follower_->reload();
   }
-  // Whoever read everything so far goes on from there with its part.
+  // A node that has read all records so far continues from its position with its subset.
   if (passes_on || !relays) {
     replica_follower_->reload();
   }
@@ -352,7 +352,7 @@
     for (auto& [name, known] : records_) {
       known.counted = false;
     }
-    subset_widened_ = subset_.widened();  // What is being loaded is this part already.
+    subset_widened_ = subset_.widened();  // The load under way already covers this subset.
   }
 }
 
@@ -369,7 +369,7 @@
   const std::optional<ReplicaRecord> record =
       value_or_problem([&] { return reader_.read_replica(name, value); }, problem);
   if (!record) {
-    spdlog::error("fleet: record cannot be read any more record={} why=\"{}\"", name, problem);
+    spdlog::error("fleet: stored replica record is malformed record={} why=\"{}\"", name, problem);
     return false;
   }
   context_.replicas.upsert(*record, net::steady_now());
@@ -380,7 +380,7 @@
   subset_revision_ = subset_.revision();
   const bool widened = std::exchange(subset_widened_, subset_.widened()) != subset_.widened();
   if (widened && counts_from_peer_) {
-    replica_follower_->reload();  // Records of the new part are not here.
+    replica_follower_->reload();  // Records of the new subset have not been read.
   }
   std::size_t added = 0;
   std::size_t removed = 0;
@@ -397,9 +397,8 @@
       added += use_known_record(name, known.value) ? 1 : 0;
     }
   }
-  spdlog::info(
-      "fleet: part of the replicas in use slices={} records={} used={} added={} removed={}",
-      subset_.slices(), records_.size(), context_.replicas.all().size(), added, removed);
+  spdlog::info("fleet: replica subset changed slices={} records={} used={} added={} removed={}",
+               subset_.slices(), records_.size(), context_.replicas.all().size(), added, removed);
 }
 
 bool FleetWatch::is_of_earlier_incarnation(const ReplicaRecord& record) const {
@@ -410,12 +409,12 @@
 void FleetWatch::take_unreadable_record(const std::string& name, const std::string& value,
                                         const std::string& problem) {
   KnownRecord& known = records_[name];
-  const bool news = known.value.empty() || !known.replica.empty();
+  const bool newly_unreadable = known.value.empty() || !known.replica.empty();
   known.value = value;
   forget_replica(known);
-  unreadable_ += news ? 1 : 0;
-  if (news) {  // A writer may go on writing such records many times a second.
-    spdlog::error("fleet: record names no replica record={} bytes={} why=\"{}\"", name,
+  unreadable_ += newly_unreadable ? 1 : 0;
+  if (newly_unreadable) {  // Logged once: a writer may repeat such records many times a second.
+    spdlog::error("fleet: replica record is malformed record={} bytes={} why=\"{}\"", name,
                   value.size(), problem);
   }
   update_record_metrics();
@@ -439,7 +438,7 @@
   }
   const bool used = context_.replicas.find(known->second.replica) != nullptr;
   if (used && removal_grace_.defer(id, now_)) {
-    spdlog::info("fleet: replica lapsed, kept for now replica={}", id);
+    spdlog::info("fleet: replica lapsed, removal deferred replica={}", id);
   } else {
     remove_replica(id);
   }
--- a/src/gateway/peer_link.cpp
+++ b/src/gateway/peer_link.cpp
@@ -10,11 +10,12 @@
 namespace dockpoint {
 namespace {
 
-/// A caller is told of the nodes of one cell if there are so many: enough to share its connections
-/// out, and to go on if some of them die at once.
+/// Callers get only the addresses of this node's cell if it has at least this many other nodes:
+/// enough to spread their connections, and to continue if some of the nodes die at once.
 constexpr std::size_t kMinCellAddresses = 8;
 
-/// In a cell of so many nodes everybody tells everybody; beyond, relays take fewer datagrams.
+/// Up to this many nodes in a cell send digests directly to each other; in larger cells relays take
+/// fewer datagrams.
 constexpr std::size_t kMaxDirectCellMembers = 4;
 
 using boost::asio::ip::udp;
@@ -77,7 +78,7 @@
 
 void PeerLink::tick(TimePoint now) {
   if (now - last_tick_ > context_.knobs.own_pause) {
-    // This process stood still: silence of the others proves nothing.
+    // This process was suspended, so the silence of other nodes proves nothing.
     silence_counts_from_ = now;
   }
   last_tick_ = now;
@@ -103,10 +104,10 @@
       cell_relay_.set_members({});
     }
     if (divided != cell_.divided()) {
-      spdlog::info("membership: load is told to {} members={} slices={} cell={}",
+      spdlog::info("membership: load digests are sent to {} members={} slices={} cell={}",
                    cell_.divided() ? "the cell" : "all", membership_.alive().size(), slices_,
                    cell_.others().size());
-      // Whoever was not heard so far was not expected to be.
+      // Nodes not heard before the change were not expected to send.
       silence_counts_from_ = last_tick_;
     }
   }
@@ -123,7 +124,7 @@
   std::vector<const Member*> heard;
   std::copy_if(members.begin(), members.end(), std::back_inserter(heard),
                [&](const Member* member) { return !silent(*member, now); });
-  // If most are silent it is rather this node that is cut off.
+  // If most are silent, this node itself is more likely to be cut off.
   return heard.size() * 2 > alive ? heard : members;
 }
 
@@ -161,7 +162,8 @@
     relay_.set_members({});
     return;
   }
-  // In a small fleet a silent member is told too: it may hear, though it is not heard.
+  // In a small fleet digests also go to silent members: they may receive although they are not
+  // heard.
   const std::vector<const Member*>& alive = membership_.alive();
   relay_.set_members(alive.size() <= LoadRelay::kDirectNodes ? alive : members_heard(alive, now));
   tell(digest, relay_, collector_);
@@ -204,7 +206,8 @@
     return;
   }
   if (collection->zone != zone_ && !collection->passed_on) {
-    // Whoever sent it took this node for a relay, whatever this node thinks itself.
+    // The sender considered this node a relay, so it forwards the collection even if its own view
+    // differs.
     collection->passed_on = true;
     const std::string passed_on = encode(*collection);
     for (const std::string& address : relay_.zone_recipients()) {
@@ -265,7 +268,7 @@
     return false;
   }
   if (!broadcasts_digests() && !cell_.contains(member.id)) {
-    return false;  // The membership protocol alone hears it.
+    return false;  // Only the membership protocol hears from it.
   }
   const auto heard = last_heard_.find(node_key(member.id));
   const TimePoint since = heard == last_heard_.end()
@@ -276,23 +279,23 @@
 
 std::vector<std::string> PeerLink::frontends() const {
   const TimePoint now = net::steady_now();
-  std::vector<std::string> sure;
+  std::vector<std::string> responsive;
   std::vector<std::string> all;
-  // Of a cell it is known within some digests who is gone, of the others only by the membership
+  // A failed node of the cell is detected within a few digests, any other only by the membership
   // protocol, which takes seconds.
   const bool cell_suffices = cell_.divided() && cell_.others().size() >= kMinCellAddresses;
   if (cell_suffices && !membership_.has_left()) {
     all.push_back(addresses_.frontend);
-    sure = all;
+    responsive = all;
   }
   for (const Member* member : cell_suffices ? cell_.others() : membership_.alive()) {
     all.push_back(member->api_address);
     if (member->state == MemberState::kAlive && !silent(*member, now)) {
-      sure.push_back(member->api_address);
+      responsive.push_back(member->api_address);
     }
   }
-  // If most are silent it is rather this node that is cut off.
-  return sure.size() * 2 > all.size() ? sure : all;
+  // If most are silent, this node itself is more likely to be cut off.
+  return responsive.size() * 2 > all.size() ? responsive : all;
 }
 
 std::vector<SlotHolder> PeerLink::slot_holders(TimePoint now) const {
@@ -320,8 +323,8 @@
 bool PeerLink::some_peer_reaches_log() const {
   const std::vector<const Member*>& expected = neighbours();
   return std::any_of(expected.begin(), expected.end(), [&](const Member* member) {
-    const auto told = reaches_log_.find(node_key(member->id));
-    return told != reaches_log_.end() && told->second;
+    const auto reported = reaches_log_.find(node_key(member->id));
+    return reported != reaches_log_.end() && reported->second;
   });
 }
 
@@ -341,8 +344,8 @@
 }
 
 bool PeerLink::reports_log_reachable(const Member& member, TimePoint now) const {
-  const auto told = reaches_log_.find(node_key(member.id));
-  return told != reaches_log_.end() && told->second && !silent(member, now);
+  const auto reported = reaches_log_.find(node_key(member.id));
+  return reported != reaches_log_.end() && reported->second && !silent(member, now);
 }
 
 std::vector<std::string> PeerLink::control_addresses_of(
--- a/src/gateway/record_protocol.cpp
+++ b/src/gateway/record_protocol.cpp
@@ -10,7 +10,7 @@
 namespace dockpoint {
 namespace {
 
-/// Longest wait that a question may ask for.
+/// Longest wait that a request may ask for.
 constexpr std::int64_t kMaxReadWaitMs = 30'000;
 
 template <class Number>
--- a/src/gateway/record_server.cpp
+++ b/src/gateway/record_server.cpp
@@ -27,7 +27,7 @@
 }
 
 void RecordServer::refuse(const net::ExchangePtr& exchange) {
-  exchange->respond(503, {}, {});  // The node that asks goes on to another one, or to the log.
+  exchange->respond(503, {}, {});  // The requesting node tries another source, or the log.
 }
 
 RecordCache::Filter RecordServer::filter_of(const RecordQuestion& question,
@@ -52,8 +52,7 @@
 void RecordServer::serve(const net::ExchangePtr& exchange) {
   const auto question = read_record_target(exchange->request().target);
   if (!question) {
-    spdlog::warn("fleet: question for records cannot be read target={}",
-                 exchange->request().target);
+    spdlog::warn("fleet: malformed record request target={}", exchange->request().target);
     exchange->respond(400, {}, {});
     return;
   }
@@ -81,19 +80,19 @@
 
 bool RecordServer::try_read(const WaitingRead& waiting, TimePoint now) {
   const auto kept = cached_partitions_.find(waiting.question.partition);
-  const bool vouches = standing_(waiting.question.partition).state == WatchState::kFollowing;
-  if (kept == cached_partitions_.end() || !kept->second.records.loaded() || !vouches) {
+  const bool confirmed = standing_(waiting.question.partition).state == WatchState::kFollowing;
+  if (kept == cached_partitions_.end() || !kept->second.records.loaded() || !confirmed) {
     refuse(waiting.exchange);
     return true;
   }
   const RecordCache& records = kept->second.records;
-  const bool news = records.end() > waiting.question.from;
-  if (!news && now < waiting.until) {
+  const bool has_new_records = records.end() > waiting.question.from;
+  if (!has_new_records && now < waiting.until) {
     return false;
   }
   const ReadOutcome outcome =
       records.read(waiting.question.from, filter_of(waiting.question, kept->second));
-  // News of other parts alone are told when the time is up.
+  // If all new records belong to other subsets, the read is answered only when its wait expires.
   if (outcome.status == LogStatus::kOk && outcome.records.empty() && now < waiting.until) {
     return false;
   }
--- a/src/gateway/relayed_log.cpp
+++ b/src/gateway/relayed_log.cpp
@@ -11,8 +11,8 @@
 namespace dockpoint {
 namespace {
 
-/// Behind every key that a replica registers under: a load from here on tells where the partition
-/// ends, and brings nothing.
+/// Sorts after every key that a replica registers under: a load from here returns the end offset of
+/// the partition and no records.
 constexpr const char* kAfterAllKeys = "~~~~";
 
 constexpr int kOk = 200;
@@ -61,9 +61,10 @@
 }
 
 void RelayedLog::tick(TimePoint now) {
-  const bool told = members_known_ > 1 && running_peer_since_ != TimePoint{} &&
-                    now - running_peer_since_ >= kMembershipPropagation;
-  if (phase_ == Phase::kHolding && (told || now - relaying_since_ >= kStartDelay)) {
+  const bool members_received = members_known_ > 1 && running_peer_since_ != TimePoint{} &&
+                                now - running_peer_since_ >= kMembershipPropagation;
+  if (phase_ == Phase::kDelayingStart &&
+      (members_received || now - relaying_since_ >= kStartDelay)) {
     phase_ = Phase::kRelaying;
     sources_.succeeded(now);
     spdlog::info("fleet: records are read from other nodes passesOn={} heldMs={}", passes_on(),
@@ -97,15 +98,15 @@
     if (!*alive) {
       return;
     }
-    // Without the log's word the number of nodes has to do.
+    // If the log does not answer, the number of nodes decides.
     const bool large = size.status == LogStatus::kOk ? size.end >= kRelayedRecords
                                                      : members_known_ >= kRelayingMembers;
-    phase_ = large ? Phase::kHolding : Phase::kDirect;
+    phase_ = large ? Phase::kDelayingStart : Phase::kDirect;
     tick(net::steady_now());
   });
 }
 
-void RelayedLog::hold(Duration delay, std::function<void()> call) {
+void RelayedLog::delay_call(Duration delay, std::function<void()> call) {
   delayed_calls_.push_back({net::steady_now() + delay, std::move(call)});
 }
 
@@ -118,7 +119,7 @@
                             std::function<void(std::optional<RecordAnswer>, bool refused)> done) {
   const std::optional<Address> parsed = Address::parse(address);
   if (!parsed) {
-    spdlog::warn("fleet: address of a source cannot be read address={}", address);
+    spdlog::warn("fleet: malformed address of a record source address={}", address);
     done(std::nullopt, false);
     return;
   }
@@ -134,7 +135,7 @@
                              answer = unpack<RecordAnswer>(outcome.body);
                              if (!answer) {
                                spdlog::warn(
-                                   "fleet: records of a node cannot be read node={} bytes={}",
+                                   "fleet: malformed records received from node={} bytes={}",
                                    address, outcome.body.size());
                              }
                            }
@@ -161,7 +162,7 @@
     load(partition, after_key, std::move(done));
     return;
   }
-  hold({}, [this, partition, after_key, done = std::move(done)] {
+  delay_call({}, [this, partition, after_key, done = std::move(done)] {
     newest(partition, after_key, done);
   });
 }
@@ -171,14 +172,14 @@
   const TimePoint now = net::steady_now();
   const std::optional<std::string> address =
       relays_partition(partition) ? sources_.next(now) : std::nullopt;
-  const bool patient = now - relaying_since_ < kLoadRetryPeriod;
-  if (!address && (!patient || sources_.has_no_sources())) {
+  const bool within_retry_period = now - relaying_since_ < kLoadRetryPeriod;
+  if (!address && (!within_retry_period || sources_.has_no_sources())) {
     log_.newest(partition, after_key, std::move(done));
     return;
   }
   const auto again = [this, partition, after_key, done] { load(partition, after_key, done); };
   if (!address) {
-    hold(kLoadRetry, again);
+    delay_call(kLoadRetry, again);
     return;
   }
   RecordQuestion question{partition, node_, passes_on()};
@@ -189,9 +190,10 @@
                  done(newest_outcome_of(*answer));
                  return;
                }
-               spdlog::info("fleet: no page of records from node={} refused={}", *address, refused);
+               spdlog::info("fleet: failed to load a page of records from node={} refused={}",
+                            *address, refused);
                sources_.failed(*address, refused, net::steady_now());
-               hold(kLoadRetry, again);  // It may be loading itself.
+               delay_call(kLoadRetry, again);  // The source may still be loading.
              });
 }
 
@@ -232,8 +234,8 @@
   const std::optional<std::string> address =
       tries > 0 ? sources_.next(net::steady_now()) : std::nullopt;
   if (!address) {
-    // Never from within the call.
-    hold({}, [this, partition, from, times, done = std::move(done)] {
+    // Deferred so that `done` is never called from within `read`.
+    delay_call({}, [this, partition, from, times, done = std::move(done)] {
       read_from_log(partition, from, {{}, times.limit}, done);
     });
     return;
@@ -247,7 +249,8 @@
                  done(read_outcome_of(*answer));
                  return;
                }
-               spdlog::info("fleet: no records from node={} refused={}", *address, refused);
+               spdlog::info("fleet: failed to read records from node={} refused={}", *address,
+                            refused);
                sources_.failed(*address, refused, net::steady_now());
                read_from_source(partition, from, {{}, half_limit}, tries - 1, done);
              });
--- a/src/gateway/relayed_log.hpp
+++ b/src/gateway/relayed_log.hpp
@@ -68,7 +68,7 @@
   void others_run();
   /// @return whether this node asks its peers for their whole fleet state when it is behind. In a
   /// large fleet that is megabytes, so records are fetched in pages instead.
-  bool direct() const { return phase_ != Phase::kHolding && phase_ != Phase::kRelaying; }
+  bool direct() const { return phase_ != Phase::kDelayingStart && phase_ != Phase::kRelaying; }
   /// @return whether records are relayed between nodes.
   bool relays() const { return phase_ == Phase::kRelaying; }
   /// @return whether this node reads all records and serves them to others.
@@ -94,11 +94,11 @@
 
  private:
   enum class Phase {
-    kUnknown,   ///< The size of the fleet has not been queried.
-    kAsking,    ///< The query to the log is under way.
-    kHolding,   ///< The fleet is large; other nodes are not known yet.
-    kDirect,    ///< Everything comes from the log.
-    kRelaying,  ///< Records come from other nodes.
+    kUnknown,        ///< The size of the fleet has not been queried.
+    kAsking,         ///< The query to the log is under way.
+    kDelayingStart,  ///< The fleet is large; other nodes are not known yet.
+    kDirect,         ///< Everything comes from the log.
+    kRelaying,       ///< Records come from other nodes.
   };
   struct DelayedCall {
     TimePoint at{};
@@ -107,7 +107,7 @@
 
   bool is_relayed(const TopicPartition& partition) const;
   void query_partition_size();
-  void hold(Duration delay, std::function<void()> call);
+  void delay_call(Duration delay, std::function<void()> call);
   bool relays_partition(const TopicPartition& partition) const;
   void read_from_log(const TopicPartition& partition, LogOffset from, const ReadTimes& times,
                      std::function<void(ReadOutcome)> done);
