--- a/tests/gateway/fleet_state_test.cpp
+++ b/tests/gateway/fleet_state_test.cpp
@@ -14,15 +14,15 @@
 
 BOOST_AUTO_TEST_SUITE(fleet_state)
 
-BOOST_AUTO_TEST_CASE(a_question_tells_what_is_known) {
-  const FleetKnowledge told = asker_knowledge(fleet_state_target({12, true, 345}));
-  BOOST_TEST(told.version == 12U);
-  BOOST_TEST(told.replicas_known);
-  BOOST_TEST(told.replicas_position == 345U);
+BOOST_AUTO_TEST_CASE(request_target_carries_the_known_version_and_position) {
+  const FleetKnowledge parsed = asker_knowledge(fleet_state_target({12, true, 345}));
+  BOOST_TEST(parsed.version == 12U);
+  BOOST_TEST(parsed.replicas_known);
+  BOOST_TEST(parsed.replicas_position == 345U);
   BOOST_TEST(!asker_knowledge(fleet_state_target({12, false, 345})).replicas_known);
 }
 
-BOOST_AUTO_TEST_CASE(a_question_without_numbers_or_with_bad_ones_gets_everything) {
+BOOST_AUTO_TEST_CASE(request_with_missing_or_malformed_numbers_gets_the_full_state) {
   for (const char* target :
        {"/dockpoint/state", "/dockpoint/state?version=x", "/dockpoint/state?"}) {
     FleetState state = whole_state();
@@ -32,7 +32,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_newer_configuration_comes_without_the_replicas_that_are_known) {
+BOOST_AUTO_TEST_CASE(newer_configuration_is_sent_without_known_replicas) {
   FleetState state = whole_state();
   leave_out_known(state, {6, true, 40});
   BOOST_TEST(state.configuration == "routes");
@@ -41,7 +41,7 @@
   BOOST_TEST(state.owners.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(replicas_of_a_later_position_come_whole) {
+BOOST_AUTO_TEST_CASE(replicas_at_a_later_position_are_sent_in_full) {
   FleetState state = whole_state();
   leave_out_known(state, {7, true, 39});
   BOOST_TEST(state.configuration.empty());
@@ -49,8 +49,9 @@
   BOOST_TEST(state.replicas.size() == 2U);
 }
 
-// Two builds run side by side while the nodes are replaced one after the other.
-BOOST_AUTO_TEST_CASE(a_state_of_the_build_before_is_read_and_says_nothing_of_evacuations) {
+// During a rolling upgrade a node may receive the state of the previous build, which lacks the
+// operator's position and the evacuated zones.
+BOOST_AUTO_TEST_CASE(state_of_the_previous_build_is_decoded_without_evacuations) {
   // [7, "routes", true, 40, [["r1", "a"]], [[0, "10.0.0.1:80"]]] in MessagePack.
   const std::string recorded =
       "\x96\x07\xa6routes\xc3\x28\x91\x92\xa2r1\xa1"
--- a/tests/gateway/fleet_watch_test.cpp
+++ b/tests/gateway/fleet_watch_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A node's view of the fleet on a log in memory, in simulated time.
+/// A FleetWatch on an in-memory log, in simulated time.
 struct Fixture : test::GatewaySurroundings {
   platform::PlatformFleet reader;
   MemoryLog log{LogLimits{1, 4096, 65536, std::chrono::seconds(1)}, 1};
@@ -28,7 +28,7 @@
     log.append(topics.configuration, {{key, value, 0}}, std::nullopt, [](const AppendOutcome&) {});
   }
   void write(const std::string& id, bool present) { write_value(id, present ? record() : ""); }
-  /// @return a replica's record; of the life that began at a time, if one is given.
+  /// @return a replica's record, with the start time of its incarnation if one is given.
   static std::string record(std::optional<std::int64_t> started_ms = std::nullopt) {
     return test::replica_record("10.0.0.1:80", 4, "ready", started_ms).dump();
   }
@@ -46,7 +46,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(fleet_watch, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_removal_counts_at_once) {
+BOOST_AUTO_TEST_CASE(removal_takes_effect_at_once) {
   write("r1", true);
   write("r2", true);
   run(200);
@@ -56,8 +56,7 @@
   BOOST_TEST(ready() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(
-    replicas_whose_records_lapsed_while_the_log_was_away_are_used_until_they_are_back) {
+BOOST_AUTO_TEST_CASE(replicas_lapsed_during_a_log_outage_are_used_for_the_grace_period) {
   write("r1", true);
   write("r2", true);
   run(200);
@@ -68,7 +67,7 @@
   write("r2", false);
   run(1'500);
   BOOST_TEST(ready() == 2U);
-  BOOST_TEST(watch.state().replicas.empty());  // Peers are told what the log holds.
+  BOOST_TEST(watch.state().replicas.empty());  // Peers get the state that the log holds.
   write("r1", true);
   run(500);
   BOOST_TEST(ready() == 2U);
@@ -77,11 +76,11 @@
   BOOST_TEST(directory.find("r1") != nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(what_a_peer_misses_while_the_log_is_away_is_held_too) {
+BOOST_AUTO_TEST_CASE(replicas_missing_from_a_peer_state_during_an_outage_are_deferred_too) {
   write("r1", true);
   run(200);
   log.faults.down = true;
-  run(4'000);  // Until the read that waits has ended.
+  run(4'000);  // Until the waiting read has ended.
   FleetState state;
   state.replicas_known = true;
   state.replicas_position = 9;
@@ -92,10 +91,10 @@
   BOOST_TEST(ready() == 0U);
 }
 
-// One of four replicas drained and left while the node was cut off; its record was compacted away.
-// The grace time for lapsed records kept it in use for 2 s more, beyond the bound on sends to a
-// replica that drains: seed 207 of the freshness exploration.
-BOOST_AUTO_TEST_CASE(a_single_replica_that_left_while_the_log_was_away_gets_no_work) {
+// One of four replicas drained and left while the node was cut off, and its record was compacted
+// away. The grace period for lapsed records kept it in use for 2 s more, beyond the bound on sends
+// to a draining replica (seed 207 of the freshness exploration).
+BOOST_AUTO_TEST_CASE(single_replica_that_left_during_a_log_outage_gets_no_work) {
   for (const char* id : {"r1", "r2", "r3", "r4"}) {
     write(id, true);
   }
@@ -107,28 +106,28 @@
   log.forget_history();
   run(800);
   BOOST_TEST(ready() == 3U);
-  BOOST_TEST(directory.find("r1") != nullptr);  // Its requests may still end.
-  write("r1", true);                            // It had lapsed after all.
+  BOOST_TEST(directory.find("r1") != nullptr);  // Requests in flight may still complete.
+  write("r1", true);                            // Its record had only lapsed.
   run(500);
   BOOST_TEST(ready() == 4U);
 }
 
-// Nothing new goes to the replicas of a zone that the operator has evacuated, from the log's word
-// or a peer's, until it is taken back.
-BOOST_AUTO_TEST_CASE(replicas_of_an_evacuated_zone_get_no_work_until_it_is_taken_back) {
+// Replicas of a zone that the operator has evacuated get no new work until the evacuation ends,
+// whether the node learns of it from the log or from a peer.
+BOOST_AUTO_TEST_CASE(replicas_of_an_evacuated_zone_get_no_work_until_the_evacuation_ends) {
   write("r1", true);
   run(200);
   const std::string zone = directory.find("r1")->record.zone;
   write_operator(topics.evacuation_prefix + zone, "{}");
   run(100);
   BOOST_TEST(ready() == 0U);
-  BOOST_TEST(directory.find("r1") != nullptr);  // What runs there ends.
+  BOOST_TEST(directory.find("r1") != nullptr);  // Requests in flight there may complete.
   write_operator(topics.evacuation_prefix + zone, "");
   run(300);
   BOOST_TEST(ready() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(an_evacuation_from_before_the_start_counts) {
+BOOST_AUTO_TEST_CASE(evacuation_from_before_the_start_is_applied) {
   write("r1", true);
   write_operator(topics.evacuation_prefix + "zone-a", "{}");
   log.forget_history();
@@ -137,7 +136,7 @@
   BOOST_TEST(ready() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(evacuations_come_from_a_peer_that_has_read_further_and_from_no_other) {
+BOOST_AUTO_TEST_CASE(evacuations_are_taken_only_from_a_peer_that_has_read_further) {
   write("r1", true);
   run(200);
   log.faults.down = true;
@@ -155,8 +154,8 @@
   BOOST_TEST(ready() == 1U);
 }
 
-// Of thousands of replicas a node uses a part, and tells peers of all.
-BOOST_AUTO_TEST_CASE(of_a_large_fleet_a_part_is_used_and_all_records_are_kept) {
+// Out of thousands of replicas a node uses a subset, and sends the records of all to its peers.
+BOOST_AUTO_TEST_CASE(large_fleet_uses_a_subset_and_keeps_all_records) {
   constexpr std::size_t kReplicas = 2'000;
   std::vector<KeyedRecord> records;
   for (std::size_t index = 0; index < kReplicas; ++index) {
@@ -168,7 +167,7 @@
   }
   run(3'000);
   BOOST_TEST(watch.state().replicas.size() == kReplicas);
-  // The replicas stand in another zone than the node: only spares are used.
+  // The replicas are in another zone than the node, so only spares are used.
   BOOST_TEST(ready() > 0U);
   BOOST_TEST(ready() < 400U);
   const std::size_t before = ready();
@@ -176,7 +175,7 @@
   write(used, false);
   run(500);
   BOOST_TEST(ready() == before - 1);
-  // The service shrinks to a size at which it is used whole.
+  // The service shrinks to a size at which all of its replicas are used.
   for (std::size_t index = 0; index < kReplicas - 100; ++index) {
     write("r" + std::to_string(index), false);
   }
@@ -184,7 +183,7 @@
   BOOST_TEST(ready() == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_starts_again_under_its_name_has_nothing_of_its_former_life) {
+BOOST_AUTO_TEST_CASE(restarted_replica_inherits_no_state_of_its_previous_incarnation) {
   write_value("r1", record(1'000));
   run(200);
   BOOST_TEST_REQUIRE(ready() == 1U);
@@ -201,12 +200,12 @@
   BOOST_TEST(!after.on_trial());
   BOOST_TEST(after.key != 0U);
   BOOST_TEST(directory.incarnation_ended(before));
-  directory.ended(before,
-                  TrafficClass::kOnline);  // What was in flight ends: the new life is not told.
+  // A request in flight ends; the new incarnation's count is unaffected.
+  directory.ended(before, TrafficClass::kOnline);
   BOOST_TEST(directory.ready("lm").front()->online == 0);
 }
 
-BOOST_AUTO_TEST_CASE(load_that_other_nodes_had_at_the_former_life_is_not_added_to_the_new_one) {
+BOOST_AUTO_TEST_CASE(peer_load_of_the_previous_incarnation_is_not_counted_for_the_new_one) {
   write_value("r1", record(1'000));
   run(200);
   const std::uint32_t key = directory.ready("lm").front()->key;
@@ -219,7 +218,7 @@
   BOOST_TEST(directory.ready("lm").front()->failures(at(now)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_record_of_an_earlier_life_changes_nothing) {
+BOOST_AUTO_TEST_CASE(record_of_an_earlier_incarnation_is_ignored) {
   write_value("r1", record(2'000));
   run(200);
   const std::string id = directory.ready("lm").front()->record.id;
@@ -229,7 +228,7 @@
   BOOST_TEST(directory.ready("lm").front()->record.id == id);
 }
 
-BOOST_AUTO_TEST_CASE(a_record_of_another_writer_takes_the_replica_out_and_leaves_the_others) {
+BOOST_AUTO_TEST_CASE(unreadable_record_removes_only_its_own_replica) {
   write("r1", true);
   write("r2", true);
   run(200);
--- a/tests/gateway/freshness_exploration_test.cpp
+++ b/tests/gateway/freshness_exploration_test.cpp
@@ -1,13 +1,14 @@
-/// How old what a node believes can get, under seeded series of failures.
+/// Explores how stale a node's view of the fleet can become, under seeded series of failures.
 ///
-/// Nodes run the product's FleetWatch, replica directory and CatchUp in simulated time, on one
-/// stand-in log and over links of their own. The log goes away, falls silent, forgets its history
-/// and comes back; links to it are cut or refuse, links between nodes lose digests and questions;
-/// nodes freeze, restart; all of it in series and overlapping. The operator changes the
-/// configuration and replicas drain at any time, most of all just after a failure has ended.
+/// Nodes run the production FleetWatch, replica directory and CatchUp in simulated time, on one
+/// simulated log and with simulated links. The log goes down, stops answering, loses its history
+/// and recovers; links to it are cut or refuse calls; links between nodes lose digests and queries;
+/// nodes freeze and restart. Failures occur in series and overlap. The operator changes the
+/// configuration and replicas drain at any time, most often just after a failure has ended.
 ///
-/// After each step: a node acts on what was confirmed longer ago than the bound, counted from
-/// the end of the last failure that touched it, and nothing that it believes goes back.
+/// After each step two rules are checked: a node's view contains every change that was confirmed
+/// longer ago than the freshness bound, counted from the end of the last failure that affected the
+/// node, and nothing in its view goes back to an older state.
 
 #include <boost/test/unit_test.hpp>
 
@@ -34,13 +35,13 @@
 constexpr std::int64_t kStepMs = 10;
 constexpr std::int64_t kTickMs = 50;
 constexpr std::int64_t kDigestMs = 200;
-constexpr std::int64_t kDayMs = 45'000;
+constexpr std::int64_t kRunMs = 45'000;
 /// Replicas leave 5 s after they drain; then nothing changes for 3 s before the end.
 constexpr std::int64_t kLastChangeMs = 8'000;
 constexpr std::int64_t kBoundMs = 2'000;
-/// A node counts as in touch again this long after the last failure that touched it.
+/// Time after the last failure that affected a node until it must meet the bound again.
 constexpr std::int64_t kSettleMs = 3'000;
-/// Reads and pages a second that a node may ask of the log, over a second.
+/// Limit of reads and page loads that a node may send to the log within one second.
 constexpr std::size_t kMaxCallsPerSecond = 24;
 constexpr std::uint64_t kSeedsInCi = 120;
 
@@ -48,7 +49,7 @@
 const std::string kZone = "zone-a";
 const FleetTopics kTopics{{"configuration", 0}, kConfigurationKey, "evacuate/", {"replicas", 0}};
 
-/// Values are a version, and `ready` or `draining`.
+/// Configuration values are a version; replica values are `ready` or `draining`.
 class PlainReader : public FleetReader {
  public:
   Result<RoutingConfiguration> read_configuration(const std::string& value) const override {
@@ -71,7 +72,7 @@
 /// How a node's link to the log fails.
 enum class LinkFault { kNone, kSilent, kRefused };
 
-/// One node's way to the log: calls under way are lost when it falls silent.
+/// A node's link to the log: calls in flight are lost when it stops answering.
 class LogLink : public PartitionedLog {
  public:
   explicit LogLink(MemoryLog& log) : log_(log) {}
@@ -125,7 +126,8 @@
     std::function<void()> run;
   };
 
-  /// Makes a call whose answer is dropped if the link breaks meanwhile; it then ends by its limit.
+  /// Makes a call whose answer is dropped if the link breaks in the meantime; the call then ends at
+  /// its time limit.
   template <class Outcome>
   void guard(Duration limit, std::function<void(Outcome)> done,
              const std::function<void(std::function<void(Outcome)>)>& call) {
@@ -146,7 +148,7 @@
     if (fault_ == LinkFault::kSilent) {
       return;
     }
-    // The log may answer after this link is gone.
+    // The log may answer after this link was destroyed.
     call([end, breaks = breaks_, breaks_before = *breaks_](Outcome outcome) {
       if (*breaks == breaks_before) {
         end(std::move(outcome));
@@ -156,13 +158,14 @@
 
   MemoryLog& log_;
   LinkFault fault_ = LinkFault::kNone;
-  std::shared_ptr<int> breaks_ = std::make_shared<int>(0);  ///< Times that it fell silent.
+  std::shared_ptr<int> breaks_ =
+      std::make_shared<int>(0);  ///< Number of times the link stopped answering.
   TimePoint now_{};
   std::deque<Ending> endings_;
   std::size_t calls_ = 0;
 };
 
-/// One life of a node.
+/// One run of a node between two restarts.
 struct NodeRun : test::GatewaySurroundings {
   NodeRun(MemoryLog& log, const Knobs& node_knobs, std::uint64_t seed)
       : GatewaySurroundings(node_knobs),
@@ -177,48 +180,50 @@
 };
 
 struct Node {
-  std::unique_ptr<NodeRun> life;
+  std::unique_ptr<NodeRun> instance;
   LinkFault link = LinkFault::kNone;
-  bool peers_cut = false;  ///< Its digests and questions are lost.
+  bool peers_cut = false;  ///< Its digests and queries are lost.
   bool frozen = false;
-  std::int64_t in_touch_from = kSettleMs;  ///< Failures that touched it have settled by then.
+  std::int64_t settled_at =
+      kSettleMs;  ///< Time by which the failures that affected it have settled.
   std::int64_t digest_at = 0;
   std::uint64_t version_seen = 0;
-  std::set<std::string> seen_to_drain;  ///< Replicas.
-  std::size_t peers = 0;                ///< Heard lately to reach the log.
-  std::size_t calls_before = 0;         ///< A second ago.
+  std::set<std::string> seen_draining;  ///< Replicas seen draining.
+  std::size_t peers = 0;                ///< Recently heard peers that reach the log.
+  std::size_t calls_before = 0;         ///< Calls to the log up to one second ago.
 };
 
-/// A fact that the log has confirmed.
-struct Fact {
+/// A change that the log has confirmed: of the configuration if `version` is set, of an evacuation
+/// if `evacuation` is set, otherwise a replica that began to drain.
+struct ConfirmedChange {
   std::int64_t confirmed_at = 0;
-  std::uint64_t version = 0;  ///< Of a configuration; 0: a replica drains, or
+  std::uint64_t version = 0;  ///< Version of the configuration, or 0.
   std::string replica;
-  std::uint64_t evacuation = 0;  ///< the zone was evacuated or taken back, so many times by then.
+  std::uint64_t evacuation = 0;  ///< Number of evacuation changes so far, or 0.
 };
 
-/// What a run found.
+/// Violations found in one run.
 struct Findings {
-  std::size_t too_old = 0;
-  std::size_t went_back = 0;
+  std::size_t stale = 0;
+  std::size_t regressions = 0;
   std::size_t too_many_calls = 0;
   std::size_t disagreements = 0;
   std::string first;
 
-  bool none() const { return too_old + went_back + too_many_calls + disagreements == 0; }
+  bool none() const { return stale + regressions + too_many_calls + disagreements == 0; }
 };
 
-/// What the nodes of a run do.
+/// Setup of a run.
 struct Setup {
   std::size_t nodes = 3;
   Knobs knobs;
   bool ask_peers = true;
-  bool evacuations = false;  ///< The operator evacuates a zone and takes it back all the time.
+  bool evacuations = false;  ///< The operator repeatedly evacuates a zone and ends the evacuation.
 };
 
-class World {
+class FreshnessSimulation {
  public:
-  World(const Setup& setup, std::uint64_t seed)
+  FreshnessSimulation(const Setup& setup, std::uint64_t seed)
       : setup_(setup), random_(seed), evacuation_random_(seed + 1), nodes_(setup.nodes) {
     for (std::size_t index = 0; index < nodes_.size(); ++index) {
       restart(index);
@@ -230,7 +235,7 @@
     for (int count = 0; count < 6; ++count) {
       add_replica();
     }
-    for (now_ = 0; now_ < kDayMs; now_ += kStepMs) {
+    for (now_ = 0; now_ < kRunMs; now_ += kStepMs) {
       step();
     }
     check_agreement();
@@ -244,7 +249,7 @@
   };
 
   std::uint64_t draw(std::uint64_t below) { return random_() % below; }
-  void later(std::int64_t delay, std::function<void()> run) {
+  void schedule(std::int64_t delay, std::function<void()> run) {
     events_.push_back({now_ + delay, std::move(run)});
   }
 
@@ -259,16 +264,17 @@
         events_.push_back(std::move(event));
       }
     }
-    // Failures come one after the other and beside each other; the last 6 s are calm.
-    if (now_ >= next_failure_ && now_ < kDayMs - 12'000) {
+    // Failures follow each other and overlap. None starts in the last 12 s and none lasts longer
+    // than 7.1 s, so the run ends calmly.
+    if (now_ >= next_failure_ && now_ < kRunMs - 12'000) {
       fail_something();
       next_failure_ = now_ + 300 + static_cast<std::int64_t>(draw(6'000));
     }
-    if (now_ >= next_change_ && now_ < kDayMs - kLastChangeMs) {
+    if (now_ >= next_change_ && now_ < kRunMs - kLastChangeMs) {
       change_something();
       next_change_ = now_ + 200 + static_cast<std::int64_t>(draw(2'500));
     }
-    if (setup_.evacuations && now_ >= next_evacuation_ && now_ < kDayMs - kLastChangeMs) {
+    if (setup_.evacuations && now_ >= next_evacuation_ && now_ < kRunMs - kLastChangeMs) {
       evacuate_or_take_back();
       next_evacuation_ = now_ + 200 + static_cast<std::int64_t>(evacuation_random_() % 4'000);
     }
@@ -283,11 +289,11 @@
     if (node.frozen) {
       return;
     }
-    node.life->link.advance(at(now_));
+    node.instance->link.advance(at(now_));
     if ((now_ + static_cast<std::int64_t>(index) * kStepMs) % kTickMs != 0) {
       return;
     }
-    node.life->watch.tick(at(now_), node.peers);
+    node.instance->watch.tick(at(now_), node.peers);
     ask(index);
     if (now_ >= node.digest_at) {
       node.digest_at = now_ + kDigestMs;
@@ -296,7 +302,7 @@
   }
 
   void send_digest(std::size_t from) {
-    const FleetKnowledge known = nodes_[from].life->watch.knowledge();
+    const FleetKnowledge known = nodes_[from].instance->watch.knowledge();
     const FleetPosition position{known.version, known.replicas_position, known.operator_position};
     std::size_t reaching = 0;
     for (std::size_t to = 0; to < nodes_.size(); ++to) {
@@ -306,7 +312,8 @@
       }
       reaching += nodes_[to].link == LinkFault::kNone ? 1 : 0;
       if (!lost) {
-        nodes_[to].life->catch_up.record_peer_position(position, std::to_string(from), at(now_));
+        nodes_[to].instance->catch_up.record_peer_position(position, std::to_string(from),
+                                                           at(now_));
       }
     }
     nodes_[from].peers = log_.faults.calm() ? reaching : 0;
@@ -314,8 +321,8 @@
 
   void ask(std::size_t index) {
     Node& node = nodes_[index];
-    const FleetKnowledge known = node.life->watch.knowledge();
-    node.life->catch_up.set_own_position(
+    const FleetKnowledge known = node.instance->watch.knowledge();
+    node.instance->catch_up.set_own_position(
         {known.version, known.replicas_position, known.operator_position});
     if (!setup_.ask_peers) {
       return;
@@ -329,8 +336,8 @@
       }
       return others;
     };
-    const auto address = node.life->catch_up.next_peer_to_query(
-        at(now_), !node.life->watch.needs_peer(at(now_)), all);
+    const auto address = node.instance->catch_up.next_peer_to_query(
+        at(now_), !node.instance->watch.needs_peer(at(now_)), all);
     if (!address) {
       return;
     }
@@ -338,33 +345,33 @@
     const bool lost = node.peers_cut || nodes_[peer].peers_cut || nodes_[peer].frozen;
     constexpr std::int64_t kAnswerMs = 10;
     const auto limit = to_ms(FreshnessBudget{setup_.knobs.freshness_bound}.question_limit());
-    const NodeRun* const asked_in = node.life.get();
-    later(lost ? limit : kAnswerMs, [this, index, peer, lost, asked_in] {
+    const NodeRun* const asked_in = node.instance.get();
+    schedule(lost ? limit : kAnswerMs, [this, index, peer, lost, asked_in] {
       Node& asker = nodes_[index];
-      if (asker.life.get() != asked_in) {
+      if (asker.instance.get() != asked_in) {
         return;
       }
-      asker.life->catch_up.query_finished();
+      asker.instance->catch_up.query_finished();
       if (!lost && !nodes_[peer].frozen) {
-        asker.life->watch.take(nodes_[peer].life->watch.state(), std::to_string(peer));
+        asker.instance->watch.take(nodes_[peer].instance->watch.state(), std::to_string(peer));
       }
     });
   }
 
   void restart(std::size_t index) {
     Node& node = nodes_[index];
-    node.life = std::make_unique<NodeRun>(log_, setup_.knobs, random_());
-    node.life->link.advance(at(now_));
-    node.life->link.set_fault(node.link);
+    node.instance = std::make_unique<NodeRun>(log_, setup_.knobs, random_());
+    node.instance->link.advance(at(now_));
+    node.instance->link.set_fault(node.link);
     node.version_seen = 0;
-    node.seen_to_drain.clear();
+    node.seen_draining.clear();
     node.calls_before = 0;
   }
 
-  void touch(Node& node) { node.in_touch_from = std::max(node.in_touch_from, now_ + kSettleMs); }
-  void touch_all() {
+  void record_failure(Node& node) { node.settled_at = std::max(node.settled_at, now_ + kSettleMs); }
+  void record_failure_of_all() {
     for (Node& node : nodes_) {
-      touch(node);
+      record_failure(node);
     }
   }
 
@@ -380,7 +387,7 @@
         break;
       case 3:
         log_.forget_history();
-        touch_all();
+        record_failure_of_all();
         break;
       default:
         for (Node& node : nodes_) {
@@ -394,10 +401,10 @@
   void fail_log(const std::function<void(MemoryLogFaults&, bool)>& set, std::int64_t length) {
     set(log_.faults, true);
     ++log_failures_;
-    later(length, [this, set] {
+    schedule(length, [this, set] {
       set(log_.faults, false);
       --log_failures_;
-      touch_all();
+      record_failure_of_all();
       change_soon();
     });
   }
@@ -408,36 +415,36 @@
       case 0:
       case 1:
         node.link = draw(2) == 0 ? LinkFault::kSilent : LinkFault::kRefused;
-        node.life->link.set_fault(node.link);
-        later(length, [this, index] {
+        node.instance->link.set_fault(node.link);
+        schedule(length, [this, index] {
           nodes_[index].link = LinkFault::kNone;
-          nodes_[index].life->link.set_fault(LinkFault::kNone);
-          touch(nodes_[index]);
+          nodes_[index].instance->link.set_fault(LinkFault::kNone);
+          record_failure(nodes_[index]);
           change_soon();
         });
         break;
       case 2:
         node.peers_cut = true;
-        later(length, [this, index] {
+        schedule(length, [this, index] {
           nodes_[index].peers_cut = false;
-          touch(nodes_[index]);
+          record_failure(nodes_[index]);
         });
         break;
       case 3:
         node.frozen = true;
-        later(length, [this, index] {
+        schedule(length, [this, index] {
           nodes_[index].frozen = false;
-          touch(nodes_[index]);
+          record_failure(nodes_[index]);
           change_soon();
         });
         break;
       default:
         restart(index);
-        touch(node);
+        record_failure(node);
     }
   }
 
-  /// Changes just after a failure find the nodes at their worst.
+  /// Schedules a change just after a failure, when a stale view is most likely.
   void change_soon() {
     next_change_ = now_ + static_cast<std::int64_t>(draw(800));
     next_evacuation_ = now_ + static_cast<std::int64_t>(evacuation_random_() % 800);
@@ -449,13 +456,13 @@
     }
     ++evacuation_changes_;
     put(kTopics.configuration, kTopics.evacuation_prefix + kZone, evacuated() ? "{}" : "");
-    facts_.push_back({now_, 0, {}, evacuation_changes_});
+    confirmed_changes_.push_back({now_, 0, {}, evacuation_changes_});
   }
   bool evacuated() const { return evacuation_changes_ % 2 == 1; }
 
   void change_something() {
     if (!log_.faults.calm()) {
-      return;  // Neither the operator nor a replica gets through.
+      return;  // Neither the operator nor a replica can write.
     }
     if (draw(2) == 0 || ready_.empty()) {
       publish_configuration();
@@ -466,14 +473,14 @@
     const std::string replica = ready_[index];
     ready_.erase(ready_.begin() + static_cast<std::ptrdiff_t>(index));
     put(kTopics.replicas, replica, "draining");
-    facts_.push_back({now_, 0, replica});
-    later(5'000, [this, replica] { put(kTopics.replicas, replica, ""); });
+    confirmed_changes_.push_back({now_, 0, replica});
+    schedule(5'000, [this, replica] { put(kTopics.replicas, replica, ""); });
   }
 
   void publish_configuration() {
     version_ += 1 + draw(4);
     put(kTopics.configuration, kConfigurationKey, std::to_string(version_));
-    facts_.push_back({now_, version_, {}});
+    confirmed_changes_.push_back({now_, version_, {}});
   }
 
   void add_replica() {
@@ -486,8 +493,8 @@
   }
 
   void check() {
-    while (!facts_.empty() && facts_.front().confirmed_at < now_ - 20'000) {
-      facts_.pop_front();
+    while (!confirmed_changes_.empty() && confirmed_changes_.front().confirmed_at < now_ - 20'000) {
+      confirmed_changes_.pop_front();
     }
     for (std::size_t index = 0; index < nodes_.size(); ++index) {
       check_age(index);
@@ -501,57 +508,60 @@
   void check_age(std::size_t index) {
     const Node& node = nodes_[index];
     const bool touched = node.frozen || node.peers_cut || node.link != LinkFault::kNone ||
-                         log_failures_ > 0 || now_ < node.in_touch_from;
+                         log_failures_ > 0 || now_ < node.settled_at;
     if (touched) {
       return;
     }
-    for (const Fact& fact : facts_) {
-      if (now_ <= fact.confirmed_at + kBoundMs || knows(node, fact)) {
+    for (const ConfirmedChange& change : confirmed_changes_) {
+      if (now_ <= change.confirmed_at + kBoundMs || knows(node, change)) {
         continue;
       }
-      ++findings_.too_old;
-      note(index, fact.version > 0      ? "acts on an old configuration"
-                  : fact.evacuation > 0 ? "does not know the change of an evacuation"
-                                        : "takes a replica that drains for ready: " + fact.replica);
+      ++findings_.stale;
+      note(index, change.version > 0 ? "has a stale configuration"
+                  : change.evacuation > 0
+                      ? "missed an evacuation change"
+                      : "treats a draining replica as ready: " + change.replica);
     }
   }
 
-  bool knows(const Node& node, const Fact& fact) const {
-    if (fact.evacuation > 0) {
-      // An older change cannot be told from the newest one if there was another since.
-      return fact.evacuation != evacuation_changes_ ||
-             node.life->directory.evacuations().contains(kZone) == evacuated();
+  bool knows(const Node& node, const ConfirmedChange& change) const {
+    if (change.evacuation > 0) {
+      // If another change followed, an older one cannot be told apart from the newest.
+      return change.evacuation != evacuation_changes_ ||
+             node.instance->directory.evacuations().contains(kZone) == evacuated();
     }
-    if (fact.version > 0) {
-      return node.life->context.configuration->version >= fact.version;
+    if (change.version > 0) {
+      return node.instance->context.configuration->version >= change.version;
     }
-    const Replica* replica = node.life->directory.find(fact.replica);
+    const Replica* replica = node.instance->directory.find(change.replica);
     return replica == nullptr || replica->record.draining;
   }
 
   void check_order(std::size_t index) {
     Node& node = nodes_[index];
-    const std::uint64_t version = node.life->context.configuration->version;
+    const std::uint64_t version = node.instance->context.configuration->version;
     if (version < node.version_seen) {
-      ++findings_.went_back;
+      ++findings_.regressions;
       note(index, "went back to an older configuration");
     }
     node.version_seen = version;
     if (now_ % kTickMs != 0) {
       return;
     }
-    // By the records themselves: a replica without one gets work, or none, by the node's judgement.
-    for (const StoredReplica& replica : node.life->watch.state().replicas) {
+    // Checks the records, not the directory: whether a replica without a record gets work is the
+    // node's decision.
+    for (const StoredReplica& replica : node.instance->watch.state().replicas) {
       if (replica.value == "draining") {
-        node.seen_to_drain.insert(replica.id);
-      } else if (node.seen_to_drain.contains(replica.id)) {
-        ++findings_.went_back;
-        note(index, "took a replica that drains for ready again: " + replica.id);
+        node.seen_draining.insert(replica.id);
+      } else if (node.seen_draining.contains(replica.id)) {
+        ++findings_.regressions;
+        note(index, "treated a draining replica as ready again: " + replica.id);
       }
     }
   }
 
-  /// After a calm time every node has the newest record of each replica, and no other replica.
+  /// After a period without failures every node has the newest record of each replica, and no other
+  /// replica.
   void check_agreement() {
     std::map<std::string, std::string> newest;
     for (const KeyedRecord& record : log_.history(kTopics.replicas)) {
@@ -560,22 +570,23 @@
     std::erase_if(newest, [](const auto& entry) { return entry.second.empty(); });
     for (std::size_t index = 0; index < nodes_.size(); ++index) {
       std::map<std::string, std::string> known;
-      for (const auto& [id, replica] : nodes_[index].life->directory.all()) {
+      for (const auto& [id, replica] : nodes_[index].instance->directory.all()) {
         known[id] = replica.record.draining ? "draining" : "ready";
       }
       if (known != newest) {
         ++findings_.disagreements;
-        note(index, "does not have the log's replicas at the end");
+        note(index, "differs from the replicas in the log at the end");
       }
     }
   }
 
   void check_calls(std::size_t index) {
     Node& node = nodes_[index];
-    const std::size_t calls = node.life->link.calls();
+    const std::size_t calls = node.instance->link.calls();
     if (calls > node.calls_before + kMaxCallsPerSecond) {
       ++findings_.too_many_calls;
-      note(index, "asked the log " + std::to_string(calls - node.calls_before) + " times a second");
+      note(index,
+           "made " + std::to_string(calls - node.calls_before) + " calls to the log in a second");
     }
     node.calls_before = calls;
   }
@@ -588,11 +599,12 @@
 
   const Setup setup_;
   std::mt19937_64 random_;
-  std::mt19937_64 evacuation_random_;  ///< Apart, so that seeds keep their failures.
+  std::mt19937_64
+      evacuation_random_;  ///< Separate, so that evacuations do not change the failures of a seed.
   MemoryLog log_{LogLimits{1, 4096, 65536, std::chrono::seconds(1)}, 1};
   std::vector<Node> nodes_;
   std::vector<Event> events_;
-  std::deque<Fact> facts_;
+  std::deque<ConfirmedChange> confirmed_changes_;
   std::vector<std::string> ready_;
   std::int64_t now_ = 0;
   std::int64_t next_failure_ = 4'000;
@@ -605,7 +617,8 @@
   Findings findings_;
 };
 
-/// @return a number from the environment: more seeds by hand, or one seed with the nodes' logs.
+/// @return a number from the environment: to run more seeds manually, or a single seed with
+/// logging.
 std::uint64_t number_from_environment(const char* name, std::uint64_t otherwise) {
   const char* const text = std::getenv(name);
   return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
@@ -616,40 +629,42 @@
   return seed % 20 == 0 ? 60 : kSizes[seed % std::size(kSizes)];
 }
 
-/// Thousands of decisions of simulated nodes are of no use in a test's output.
-class LogsOff {
+/// Disables logging, since thousands of log lines of simulated nodes are useless in a test's
+/// output.
+class DisabledLogging {
  public:
-  LogsOff() { spdlog::set_level(spdlog::level::off); }
-  ~LogsOff() { spdlog::set_level(level_); }
-  LogsOff(const LogsOff&) = delete;
-  LogsOff& operator=(const LogsOff&) = delete;
+  DisabledLogging() { spdlog::set_level(spdlog::level::off); }
+  ~DisabledLogging() { spdlog::set_level(level_); }
+  DisabledLogging(const DisabledLogging&) = delete;
+  DisabledLogging& operator=(const DisabledLogging&) = delete;
 
  private:
   const spdlog::level::level_enum level_ = spdlog::get_level();
 };
 
-/// @return what one seed finds.
+/// @return the violations found with one seed.
 Findings run_seed(Setup setup, std::uint64_t seed) {
   setup.nodes = nodes_of(seed);
-  return World(setup, seed).run();
+  return FreshnessSimulation(setup, seed).run();
 }
 
-/// @return seeds on which something was found, each reported with its first finding.
+/// @return seeds with violations, each reported with its first one.
 std::vector<std::uint64_t> explore(const Setup& base, std::uint64_t seeds, bool report) {
-  const LogsOff logs_off;
+  const DisabledLogging logs_off;
   std::vector<std::uint64_t> found;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     const Findings findings = run_seed(base, seed);
     if (!findings.none()) {
       found.push_back(seed);
       BOOST_TEST_MESSAGE("seed " << seed << ", " << nodes_of(seed) << " nodes: " << findings.first
-                                 << " (too old " << findings.too_old << ", went back "
-                                 << findings.went_back << ", calls " << findings.too_many_calls
-                                 << ", disagree " << findings.disagreements << ")");
+                                 << " (stale " << findings.stale << ", regressions "
+                                 << findings.regressions << ", calls " << findings.too_many_calls
+                                 << ", disagreements " << findings.disagreements << ")");
     }
   }
   if (report && !found.empty()) {
-    BOOST_ERROR(found.size() << " of " << seeds << " seeds, first " << found.front());
+    BOOST_ERROR(found.size() << " of " << seeds << " seeds have violations, first "
+                             << found.front());
   }
   return found;
 }
@@ -658,7 +673,7 @@
 
 BOOST_AUTO_TEST_SUITE(freshness_exploration)
 
-BOOST_AUTO_TEST_CASE(nobody_acts_on_what_is_older_than_the_bound) {
+BOOST_AUTO_TEST_CASE(state_is_never_older_than_the_freshness_bound) {
   const std::uint64_t one_seed = number_from_environment("DOCKPOINT_FRESHNESS_SEED", 0);
   if (one_seed > 0) {
     const Findings findings = run_seed(Setup{}, one_seed);
@@ -668,41 +683,43 @@
   explore(Setup{}, number_from_environment("DOCKPOINT_FRESHNESS_SEEDS", kSeedsInCi), true);
 }
 
-// Seeds that found something while the nodes were built. A lone node was cut off while one replica
-// (207, 2754) or three of seven (3102) drained and left, took their records for lapsed leases and
-// sent to them for the grace time on top of its absence:
+// Seeds that found violations during development. A lone node was cut off while one replica (207,
+// 2754) or three of seven (3102) drained and left. It took their missing records for lapsed leases
+// and kept sending to them for the grace period after its reconnection:
 //   fleet: log regained topic=replicas sinceAnswerMs=7500 position=15
-//   fleet: replica lapsed, kept for now replica=r3
-BOOST_AUTO_TEST_CASE(a_node_that_was_away_while_replicas_left_does_not_send_to_them) {
-  const LogsOff logs_off;
+//   fleet: replica lapsed, removal deferred replica=r3
+BOOST_AUTO_TEST_CASE(reconnected_node_does_not_send_to_replicas_that_left) {
+  const DisabledLogging logs_off;
   for (const std::uint64_t seed : {207, 2754, 3102}) {
     const Findings findings = run_seed(Setup{}, seed);
     BOOST_TEST(findings.none(), "seed " << seed << ": " << findings.first);
   }
 }
 
-// With waits that another bound allows, the same seeds find what the incident found.
-BOOST_AUTO_TEST_CASE(with_waits_of_a_longer_bound_it_finds_old_knowledge) {
+// With waits derived from a longer freshness bound, the same seeds reproduce the stale views of the
+// incident.
+BOOST_AUTO_TEST_CASE(exploration_detects_stale_state_with_a_longer_bound) {
   Setup setup;
   setup.knobs.freshness_bound = std::chrono::seconds(6);
   const auto found = explore(setup, kSeedsInCi, false);
-  BOOST_TEST_MESSAGE(found.size() << " of " << kSeedsInCi << " seeds");
+  BOOST_TEST_MESSAGE(found.size() << " of " << kSeedsInCi << " seeds have violations");
   BOOST_TEST(found.size() > kSeedsInCi / 8);
 }
 
-BOOST_AUTO_TEST_CASE(evacuations_are_known_and_lifted_in_time_too) {
+BOOST_AUTO_TEST_CASE(evacuations_start_and_end_within_the_freshness_bound) {
   Setup setup;
   setup.evacuations = true;
   explore(setup, number_from_environment("DOCKPOINT_FRESHNESS_SEEDS", kSeedsInCi), true);
 }
 
-// In a large fleet a node waits longer than a lone one, and relies on what the others tell.
-BOOST_AUTO_TEST_CASE(without_questions_to_peers_it_finds_old_knowledge) {
+// In a large fleet a node waits longer than a lone one and relies on the positions that its peers
+// report.
+BOOST_AUTO_TEST_CASE(exploration_detects_stale_state_without_peer_queries) {
   Setup setup;
   setup.ask_peers = false;
-  const LogsOff logs_off;
+  const DisabledLogging logs_off;
   for (const std::uint64_t seed : {60, 200}) {
-    BOOST_TEST(run_seed(setup, seed).too_old > 0U, seed);
+    BOOST_TEST(run_seed(setup, seed).stale > 0U, seed);
   }
 }
 
--- a/tests/gateway/gateway_surroundings.hpp
+++ b/tests/gateway/gateway_surroundings.hpp
@@ -8,7 +8,7 @@
 
 namespace dockpoint::test {
 
-/// What the parts of one gateway share, for tests of a part alone.
+/// The objects that the components of a gateway share, for testing one component alone.
 struct GatewaySurroundings {
   explicit GatewaySurroundings(const Knobs& node_knobs = {}) : knobs(node_knobs) {}
 
--- a/tests/gateway/record_relay_test.cpp
+++ b/tests/gateway/record_relay_test.cpp
@@ -1,4 +1,4 @@
-/// Nodes that read the fleet's records from each other, over real connections.
+/// Tests of nodes that read the fleet's records from each other, over real connections.
 
 #include <boost/asio/steady_timer.hpp>
 #include <boost/test/unit_test.hpp>
@@ -19,9 +19,9 @@
 constexpr std::size_t kRecords = 2'500;
 constexpr Duration kBound = 2s;
 
-/// A node that passes records on, and one that reads from it, before one log.
-struct World {
-  World() {
+/// A node that relays records and one that reads from it, both on the same log.
+struct RelayFixture {
+  RelayFixture() {
     for (std::size_t begin = 0; begin < kRecords; begin += 100) {
       std::vector<KeyedRecord> records;
       for (std::size_t index = begin; index < begin + 100; ++index) {
@@ -37,7 +37,7 @@
   }
 
   static std::string address() { return "127.0.0.1:" + std::to_string(kPort); }
-  /// @return members of one zone of which this node is none of those that pass records on.
+  /// @return members of one zone; this node is not among those that relay records.
   std::vector<const Member*> alive() {
     members.clear();
     for (int index = 0; index < 60; ++index) {
@@ -54,7 +54,7 @@
     }
     return pointers;
   }
-  /// The node that passes records on has loaded what the log holds.
+  /// Loads the log's content into the relaying node.
   void load_server() { server.replace(kReplicas, log.history(kReplicas), kRecords); }
 
   void run(std::chrono::milliseconds time) {
@@ -68,7 +68,7 @@
       client.tick(net::steady_now());
     }
   }
-  /// Runs until a call has ended.
+  /// Runs until the call has completed.
   template <class Outcome>
   Outcome wait_for(const std::shared_ptr<std::optional<Outcome>>& outcome) {
     for (int round = 0; round < 600 && !outcome->has_value(); ++round) {
@@ -79,12 +79,12 @@
   }
   NewestOutcome load(const std::string& after) {
     const auto outcome = std::make_shared<std::optional<NewestOutcome>>();
-    reader.newest(kReplicas, after, [outcome](NewestOutcome ended) { *outcome = ended; });
+    reader.newest(kReplicas, after, [outcome](NewestOutcome result) { *outcome = result; });
     return wait_for(outcome);
   }
   std::shared_ptr<std::optional<ReadOutcome>> start_read(LogOffset from, Duration wait) {
     const auto outcome = std::make_shared<std::optional<ReadOutcome>>();
-    reader.read(kReplicas, from, {wait, 1s}, [outcome](ReadOutcome ended) { *outcome = ended; });
+    reader.read(kReplicas, from, {wait, 1s}, [outcome](ReadOutcome result) { *outcome = result; });
     return outcome;
   }
 
@@ -114,8 +114,8 @@
 
 BOOST_AUTO_TEST_SUITE(record_relay)
 
-BOOST_AUTO_TEST_CASE(a_node_of_a_large_fleet_loads_its_part_from_another_node) {
-  World world;
+BOOST_AUTO_TEST_CASE(node_of_a_large_fleet_loads_its_subset_from_another_node) {
+  RelayFixture world;
   world.load_server();
   const NewestOutcome page = world.load("");
   BOOST_TEST((page.status == LogStatus::kOk));
@@ -127,18 +127,18 @@
   BOOST_TEST(world.counts.front().replicas == kRecords);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_is_loading_itself_is_asked_again) {
-  World world;
+BOOST_AUTO_TEST_CASE(source_that_is_still_loading_is_retried) {
+  RelayFixture world;
   const auto outcome = std::make_shared<std::optional<NewestOutcome>>();
-  world.reader.newest(kReplicas, "", [outcome](NewestOutcome ended) { *outcome = ended; });
+  world.reader.newest(kReplicas, "", [outcome](NewestOutcome result) { *outcome = result; });
   world.run(400ms);
   BOOST_TEST(!outcome->has_value());
   world.load_server();
   BOOST_TEST(world.wait_for(outcome).records.size() == kRecords / 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_read_waits_at_the_other_node_until_there_is_news) {
-  World world;
+BOOST_AUTO_TEST_CASE(read_waits_at_the_source_until_a_matching_record_arrives) {
+  RelayFixture world;
   world.load_server();
   world.load("");
   const auto read = world.start_read(kRecords, 2s);
@@ -154,9 +154,10 @@
   BOOST_TEST(outcome.next == kRecords + 2);
 }
 
-// Whoever waits behind a node that has lost the log would not notice for the whole wait.
-BOOST_AUTO_TEST_CASE(a_node_that_loses_the_log_sends_its_readers_away_at_once) {
-  World world;
+// A reader waiting on a source that has lost the log would otherwise not notice until its wait
+// expires.
+BOOST_AUTO_TEST_CASE(source_that_loses_the_log_refuses_waiting_reads_at_once) {
+  RelayFixture world;
   world.load_server();
   world.load("");
   const auto read = world.start_read(10, 2s);
@@ -170,9 +171,9 @@
   BOOST_TEST((world.wait_for(read).status == LogStatus::kCompacted));
 }
 
-// Not at once: the sources may be slow because the log is.
-BOOST_AUTO_TEST_CASE(without_an_answer_the_log_is_read_well_within_the_bound) {
-  World world;
+// The log is not read at once, because the sources may be slow due to a slow log.
+BOOST_AUTO_TEST_CASE(without_a_source_the_log_is_read_within_the_freshness_bound) {
+  RelayFixture world;
   world.load_server();
   world.load("");
   world.control.reset();
@@ -190,8 +191,8 @@
   BOOST_TEST(outcome.records.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(before_few_records_the_log_is_read_by_every_node) {
-  World world;
+BOOST_AUTO_TEST_CASE(small_fleet_reads_directly_from_the_log) {
+  RelayFixture world;
   MemoryLog small{LogLimits{1, 4096, 1 << 20, 1s}, 1};
   small.append(kReplicas, {{"r1", "value", 0}}, std::nullopt, [](const AppendOutcome&) {});
   RelayedLog reader{world.loop, world.client, small,  {kReplicas},
@@ -199,7 +200,7 @@
   reader.expect_others(true);
   reader.set_members(world.alive());
   const auto outcome = std::make_shared<std::optional<NewestOutcome>>();
-  reader.newest(kReplicas, "", [outcome](NewestOutcome ended) { *outcome = ended; });
+  reader.newest(kReplicas, "", [outcome](NewestOutcome result) { *outcome = result; });
   for (int round = 0; round < 20; ++round) {
     small.advance(net::steady_now());
     reader.tick(net::steady_now());
@@ -210,7 +211,7 @@
   BOOST_TEST(reader.direct());
 }
 
-BOOST_AUTO_TEST_CASE(bad_questions_are_refused_and_bad_answers_are_no_records) {
+BOOST_AUTO_TEST_CASE(malformed_requests_and_responses_are_rejected) {
   BOOST_TEST(!read_record_target("/dockpoint/records").has_value());
   BOOST_TEST(
       !read_record_target("/dockpoint/records?topic=t&partition=x&node=n&after=").has_value());
