--- a/tests/gateway/record_relay_test.cpp
+++ b/tests/gateway/record_relay_test.cpp
@@ -106,8 +106,10 @@
       loop, [this](const auto& exchange) { server.serve(exchange); });
   std::vector<ReplicaCount> counts;
   RelayedLog reader{
-      loop,     client, log,    {kReplicas},
-      "node-x", "zone", kBound, [this](const std::vector<ReplicaCount>& told) { counts = told; }};
+      loop,     client,
+      log,      {kReplicas},
+      "node-x", "zone",
+      kBound,   [this](const std::vector<ReplicaCount>& received) { counts = received; }};
 };
 
 }  // namespace
