--- a/src/gateway/relayed_log.cpp
+++ b/src/gateway/relayed_log.cpp
@@ -11,9 +11,9 @@
 namespace dockpoint {
 namespace {
 
-/// Behind every key that a replica registers under: a load from here on tells where the partition
-/// ends, and brings nothing.
-constexpr const char* kBehindAllKeys = "~~~~";
+/// Sorts after every key that a replica registers under: a load from here returns the end offset of
+/// the partition and no records.
+constexpr const char* kAfterAllKeys = "~~~~";
 
 constexpr int kOk = 200;
 
@@ -21,7 +21,7 @@
 
 RelayedLog::RelayedLog(boost::asio::io_context& loop, net::HttpClient& client, PartitionedLog& log,
                        std::vector<TopicPartition> relayed, const std::string& node,
-                       std::string zone, Duration bound, CountsTold on_counts)
+                       std::string zone, Duration bound, CountsReceived on_counts)
     : loop_(loop),
       client_(client),
       log_(log),
@@ -40,8 +40,8 @@
 }
 
 void RelayedLog::others_run() {
-  if (others_run_since_ == TimePoint{}) {
-    others_run_since_ = net::steady_now();
+  if (running_peer_since_ == TimePoint{}) {
+    running_peer_since_ = net::steady_now();
   }
 }
 
@@ -61,9 +61,10 @@
 }
 
 void RelayedLog::tick(TimePoint now) {
-  const bool told = members_known_ > 1 && others_run_since_ != TimePoint{} &&
-                    now - others_run_since_ >= kMembersTold;
-  if (phase_ == Phase::kHolding && (told || now - relaying_since_ >= kStartHold)) {
+  const bool members_received = members_known_ > 1 && running_peer_since_ != TimePoint{} &&
+                                now - running_peer_since_ >= kMembershipPropagation;
+  if (phase_ == Phase::kDelayingStart &&
+      (members_received || now - relaying_since_ >= kStartDelay)) {
     phase_ = Phase::kRelaying;
     sources_.succeeded(now);
     spdlog::info("fleet: records are read from other nodes passesOn={} heldMs={}", passes_on(),
@@ -72,12 +73,12 @@
   if (phase_ != Phase::kDirect && phase_ != Phase::kRelaying) {
     return;
   }
-  std::vector<Held> held = std::exchange(held_, {});
-  for (Held& entry : held) {
+  std::vector<DelayedCall> held = std::exchange(delayed_calls_, {});
+  for (DelayedCall& entry : held) {
     if (now >= entry.at) {
       entry.call();
     } else {
-      held_.push_back(std::move(entry));
+      delayed_calls_.push_back(std::move(entry));
     }
   }
 }
@@ -86,27 +87,27 @@
   return std::find(relayed_.begin(), relayed_.end(), partition) != relayed_.end();
 }
 
-void RelayedLog::ask_size() {
+void RelayedLog::query_partition_size() {
   relaying_since_ = net::steady_now();
   if (!others_expected_) {
     phase_ = Phase::kDirect;
     return;
   }
   phase_ = Phase::kAsking;
-  log_.newest(relayed_.front(), kBehindAllKeys, [this, alive = alive_](const NewestOutcome& size) {
+  log_.newest(relayed_.front(), kAfterAllKeys, [this, alive = alive_](const NewestOutcome& size) {
     if (!*alive) {
       return;
     }
-    // Without the log's word the number of nodes has to do.
+    // If the log does not answer, the number of nodes decides.
     const bool large = size.status == LogStatus::kOk ? size.end >= kRelayedRecords
                                                      : members_known_ >= kRelayingMembers;
-    phase_ = large ? Phase::kHolding : Phase::kDirect;
+    phase_ = large ? Phase::kDelayingStart : Phase::kDirect;
     tick(net::steady_now());
   });
 }
 
-void RelayedLog::hold(Duration delay, std::function<void()> call) {
-  held_.push_back({net::steady_now() + delay, std::move(call)});
+void RelayedLog::delay_call(Duration delay, std::function<void()> call) {
+  delayed_calls_.push_back({net::steady_now() + delay, std::move(call)});
 }
 
 bool RelayedLog::relays_partition(const TopicPartition& partition) const {
@@ -118,7 +119,7 @@
                             std::function<void(std::optional<RecordAnswer>, bool refused)> done) {
   const std::optional<Address> parsed = Address::parse(address);
   if (!parsed) {
-    spdlog::warn("fleet: address of a source cannot be read address={}", address);
+    spdlog::warn("fleet: malformed address of a record source address={}", address);
     done(std::nullopt, false);
     return;
   }
@@ -134,7 +135,7 @@
                              answer = unpack<RecordAnswer>(outcome.body);
                              if (!answer) {
                                spdlog::warn(
-                                   "fleet: records of a node cannot be read node={} bytes={}",
+                                   "fleet: malformed records received from node={} bytes={}",
                                    address, outcome.body.size());
                              }
                            }
@@ -151,7 +152,7 @@
 void RelayedLog::newest(const TopicPartition& partition, const std::string& after_key,
                         std::function<void(NewestOutcome)> done) {
   if (phase_ == Phase::kUnknown) {
-    ask_size();
+    query_partition_size();
   }
   if (phase_ == Phase::kDirect || !is_relayed(partition)) {
     log_.newest(partition, after_key, std::move(done));
@@ -161,7 +162,7 @@
     load(partition, after_key, std::move(done));
     return;
   }
-  hold({}, [this, partition, after_key, done = std::move(done)] {
+  delay_call({}, [this, partition, after_key, done = std::move(done)] {
     newest(partition, after_key, done);
   });
 }
@@ -171,27 +172,28 @@
   const TimePoint now = net::steady_now();
   const std::optional<std::string> address =
       relays_partition(partition) ? sources_.next(now) : std::nullopt;
-  const bool patient = now - relaying_since_ < kLoadPatience;
-  if (!address && (!patient || sources_.has_no_sources())) {
+  const bool within_retry_period = now - relaying_since_ < kLoadRetryPeriod;
+  if (!address && (!within_retry_period || sources_.has_no_sources())) {
     log_.newest(partition, after_key, std::move(done));
     return;
   }
   const auto again = [this, partition, after_key, done] { load(partition, after_key, done); };
   if (!address) {
-    hold(kLoadRetry, again);
+    delay_call(kLoadRetry, again);
     return;
   }
   RecordQuestion question{partition, node_, passes_on()};
   question.after_key = after_key;
-  ask_source(*address, question, kPageLimit,
+  ask_source(*address, question, kPageTimeout,
              [this, address, again, done](const std::optional<RecordAnswer>& answer, bool refused) {
                if (answer) {
                  done(newest_outcome_of(*answer));
                  return;
                }
-               spdlog::info("fleet: no page of records from node={} refused={}", *address, refused);
+               spdlog::info("fleet: failed to load a page of records from node={} refused={}",
+                            *address, refused);
                sources_.failed(*address, refused, net::steady_now());
-               hold(kLoadRetry, again);  // It may be loading itself.
+               delay_call(kLoadRetry, again);  // The source may still be loading.
              });
 }
 
@@ -232,8 +234,8 @@
   const std::optional<std::string> address =
       tries > 0 ? sources_.next(net::steady_now()) : std::nullopt;
   if (!address) {
-    // Never from within the call.
-    hold({}, [this, partition, from, times, done = std::move(done)] {
+    // Deferred so that `done` is never called from within `read`.
+    delay_call({}, [this, partition, from, times, done = std::move(done)] {
       read_from_log(partition, from, {{}, times.limit}, done);
     });
     return;
@@ -247,7 +249,8 @@
                  done(read_outcome_of(*answer));
                  return;
                }
-               spdlog::info("fleet: no records from node={} refused={}", *address, refused);
+               spdlog::info("fleet: failed to read records from node={} refused={}", *address,
+                            refused);
                sources_.failed(*address, refused, net::steady_now());
                read_from_source(partition, from, {{}, half_limit}, tries - 1, done);
              });
