--- a/src/gateway/bounded_log.cpp
+++ b/src/gateway/bounded_log.cpp
@@ -9,13 +9,14 @@
 namespace dockpoint {
 namespace {
 
-/// Most bytes that wait for the descriptor.
-constexpr std::size_t kBufferBytes = 256 * 1024;
-/// From this size on lines are written without waiting for the next round.
-constexpr std::size_t kEagerBytes = 8 * 1024;
-/// Most lines a second below the level of warnings, and in all.
-constexpr int kOrdinaryLines = 300;
-constexpr int kAllLines = 600;
+/// Lines are dropped while the buffer holds more bytes than this.
+constexpr std::size_t kMaxBufferedBytes = 256 * 1024;
+/// Buffer size in bytes from which lines are written at once instead of at the next drain().
+constexpr std::size_t kImmediateDrainBytes = 8 * 1024;
+/// A line below warning level is dropped once this many lines were logged in the same second.
+constexpr int kMaxLinesPerSecondBelowWarning = 300;
+/// Maximum lines per second of all levels.
+constexpr int kMaxLinesPerSecond = 600;
 
 std::int64_t second_of(const spdlog::details::log_msg& message) {
   return std::chrono::duration_cast<std::chrono::seconds>(message.time.time_since_epoch()).count();
@@ -32,12 +33,13 @@
 
 void BoundedLog::sink_it_(const spdlog::details::log_msg& message) {
   const std::int64_t second = second_of(message);
-  if (second != second_) {
-    second_ = second;
+  if (second != current_second_) {
+    current_second_ = second;
     lines_this_second_ = 0;
   }
-  const int limit = message.level >= spdlog::level::warn ? kAllLines : kOrdinaryLines;
-  if (lines_this_second_ >= limit || buffer_.size() > kBufferBytes) {
+  const int limit =
+      message.level >= spdlog::level::warn ? kMaxLinesPerSecond : kMaxLinesPerSecondBelowWarning;
+  if (lines_this_second_ >= limit || buffer_.size() > kMaxBufferedBytes) {
     ++dropped_;
     return;
   }
@@ -45,15 +47,15 @@
   spdlog::memory_buf_t line;
   formatter_->format(message, line);
   buffer_.append(line.data(), line.size());
-  if (buffer_.size() >= kEagerBytes) {
+  if (buffer_.size() >= kImmediateDrainBytes) {
     drain();
   }
 }
 
 void BoundedLog::drain() {
-  if (dropped_ > dropped_told_ && buffer_.size() < kBufferBytes) {
-    buffer_ += "log: lines dropped count=" + std::to_string(dropped_ - dropped_told_) + "\n";
-    dropped_told_ = dropped_;
+  if (dropped_ > dropped_reported_ && buffer_.size() < kMaxBufferedBytes) {
+    buffer_ += "log: lines dropped count=" + std::to_string(dropped_ - dropped_reported_) + "\n";
+    dropped_reported_ = dropped_;
   }
   while (!buffer_.empty()) {
     const ssize_t written = write(descriptor_, buffer_.data(), buffer_.size());
--- a/src/gateway/bounded_log.hpp
+++ b/src/gateway/bounded_log.hpp
@@ -9,16 +9,17 @@
 
 namespace dockpoint {
 
-/// Log lines on their way to a descriptor, bounded in rate and memory: a reader that stops reading,
-/// or a burst of lines, holds nothing up. What does not fit is dropped and counted, and the count
-/// is said as soon as lines pass again. Used on one thread.
+/// Non-blocking log sink with bounded rate and memory: neither a reader that stops reading nor a
+/// burst of lines blocks the process. Lines over a bound are dropped and counted; the count is
+/// logged as soon as the buffer has room again. Not thread-safe.
 class BoundedLog : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
-  /// @param descriptor is made non-blocking.
+  /// @param descriptor file descriptor to write to; set to non-blocking mode, not closed.
   explicit BoundedLog(int descriptor);
 
-  /// Writes what the descriptor takes; call a few times a second.
+  /// Writes as many buffered bytes as the descriptor accepts; call a few times a second.
   void drain();
+  /// @return number of lines dropped since the start.
   std::uint64_t dropped() const { return dropped_; }
 
  protected:
@@ -29,12 +30,12 @@
   const int descriptor_;
   std::string buffer_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t dropped_told_ = 0;
-  std::int64_t second_ = 0;
+  std::uint64_t dropped_reported_ = 0;
+  std::int64_t current_second_ = 0;
   int lines_this_second_ = 0;
 };
 
-/// Makes a bounded log the default of spdlog, with one line a record.
+/// Installs a bounded log as spdlog's default logger; each record is one line.
 std::shared_ptr<BoundedLog> install_bounded_log(int descriptor);
 
 }  // namespace dockpoint
--- a/src/gateway/gateway_context.hpp
+++ b/src/gateway/gateway_context.hpp
@@ -19,7 +19,7 @@
 
 class CrashWatch;
 
-/// What the parts of a gateway share. All of it lives on the event loop's thread.
+/// Dependencies shared by the components of a gateway. Used only on the event loop's thread.
 struct GatewayContext {
   boost::asio::io_context& loop;
   const Knobs& knobs;
@@ -30,19 +30,22 @@
   GatewayMetrics& metrics;
   std::shared_ptr<const RoutingConfiguration> configuration;  ///< Never null.
   std::string node;
-  std::string zone = {};                     ///< Of this node.
-  std::function<void()> announce_load = {};  ///< Tells the other nodes of this node's load now.
-  /// @return control addresses of other nodes that reach the log.
+  std::string zone = {};  ///< Zone of this node.
+  std::function<void()> announce_load =
+      {};  ///< Sends this node's load to the other nodes immediately.
+  /// @return control addresses of other nodes that can reach the log.
   std::function<std::vector<std::string>()> peers_reaching_log = {};
-  /// Asks whoever runs a batch item at a replica to break it off for an online request.
+  /// Asks the node that runs a batch item on the replica, this node or a peer, to abort it in favor
+  /// of an online request.
   std::function<void(const Replica&)> request_slot = {};
   /// @return time since the log last confirmed the replicas' records.
   std::function<Duration()> replica_records_age = {};
-  TenantRateLimiter* rate_limiter = nullptr;  ///< Null: no tenant is limited.
-  CrashWatch* crash_watch = nullptr;          ///< Null: no request is quarantined.
+  TenantRateLimiter* rate_limiter = nullptr;  ///< Null disables rate limiting.
+  CrashWatch* crash_watch = nullptr;          ///< Null disables quarantine.
 };
 
-/// @return the endpoint of a replica; connections are not shared between its lives.
+/// @return the endpoint of a replica. Keyed by replica id as well as address, so that connections
+/// are not reused after the replica restarts.
 inline net::Endpoint endpoint_of(const ReplicaRecord& replica) {
   return {replica.address, replica.id};
 }
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -5,22 +5,22 @@
 namespace dockpoint {
 namespace {
 
-/// Upper bounds of the latency histogram, in seconds.
+/// Bucket upper bounds of the latency histogram, in seconds.
 const prometheus::Histogram::BucketBoundaries& latency_buckets() {
   static const prometheus::Histogram::BucketBoundaries buckets{0.005, 0.01, 0.025, 0.05, 0.1, 0.2,
                                                                0.3,   0.5,  1,     2,    5};
   return buckets;
 }
 
-/// Upper bounds of the errors of expected waits, in seconds.
+/// Bucket upper bounds of the wait error histogram, in seconds.
 const prometheus::Histogram::BucketBoundaries& wait_error_buckets() {
   static const prometheus::Histogram::BucketBoundaries buckets{-0.4, -0.2, -0.1, -0.05, 0,
                                                                0.05, 0.1,  0.2,  0.4,   0.8};
   return buckets;
 }
 
-/// Tenants over their limit that get a series of their own.
-constexpr std::size_t kTenantsShown = 32;
+/// Maximum number of rate-limited tenants with their own series; bounds the label cardinality.
+constexpr std::size_t kMaxTenantSeries = 32;
 
 prometheus::Gauge& make_gauge(prometheus::Registry& registry, const char* name, const char* help) {
   return prometheus::BuildGauge().Name(name).Help(help).Register(registry).Add({});
@@ -140,11 +140,12 @@
 }
 
 void GatewayMetrics::count_rate_limited(const std::string& tenant, const std::string& reason) {
-  const bool shown = tenants_shown_.contains(tenant) || tenants_shown_.size() < kTenantsShown;
-  if (shown) {
-    tenants_shown_.insert(tenant);
+  const bool has_series =
+      tenants_with_series_.contains(tenant) || tenants_with_series_.size() < kMaxTenantSeries;
+  if (has_series) {
+    tenants_with_series_.insert(tenant);
   }
-  rate_limited_.Add({{"tenant", shown ? tenant : "other"}, {"reason", reason}}).Increment();
+  rate_limited_.Add({{"tenant", has_series ? tenant : "other"}, {"reason", reason}}).Increment();
 }
 
 void GatewayMetrics::count_caller_refused(const std::string& verdict) {
--- a/src/gateway/gateway_metrics.hpp
+++ b/src/gateway/gateway_metrics.hpp
@@ -16,7 +16,7 @@
 
 namespace dockpoint {
 
-/// Counters and latencies of a gateway, in Prometheus' terms. Used on the event loop's thread.
+/// Prometheus metrics of a gateway. Used only on the event loop's thread.
 class GatewayMetrics {
  public:
   GatewayMetrics();
@@ -24,40 +24,43 @@
   /// @param outcome `answered`, `refused`, `failed`, `timed_out`, `broken_off` or `caller_gone`.
   void count_request(const std::string& kind, const std::string& outcome);
   void observe_first_byte(const std::string& kind, Duration time);
-  /// Compares an expected wait with what followed, at the first byte of an online request's answer.
+  /// Records the error of an expected wait, at the first byte of an online request's response.
   void observe_wait(const std::string& kind, const WaitError& wait);
   void count_attempt(const std::string& outcome);
-  /// Counts a request that was sent to a replica. @param own_slot in a slot of this node's own.
+  /// Counts a request that was sent to a replica.
+  /// @param own_slot whether it uses a slot assigned to this node.
   void count_placement(bool own_slot);
-  /// Counts a request that was refused for its tenant's rate limit. Only the first tenants that are
-  /// met get a series of their own, the others share `other`.
-  /// @param reason as of `RateRefusal`.
+  /// Counts a request that was refused because of its tenant's rate limit. To bound the number of
+  /// series, only the first tenants seen get their own; the others share `other`.
+  /// @param reason name of a `RateRefusal`.
   void count_rate_limited(const std::string& tenant, const std::string& reason);
-  /// Counts a refusal of a caller; @param verdict `unknown_key`, `unsure` or `malformed`.
+  /// Counts a request that was refused because of its API key.
+  /// @param verdict `unknown_key`, `unsure` or `malformed`.
   void count_caller_refused(const std::string& verdict);
-  /// Counts runs whose connections to a replica ended.
-  /// @param verdict on the replica: `replica_ended`, `replica_runs` or `unknown`.
+  /// Counts runs whose connection to a replica was lost.
+  /// @param verdict state of the replica: `replica_ended`, `replica_runs` or `unknown`.
   void count_broken_runs(const std::string& verdict, std::size_t runs);
   void set_quarantined_requests(std::size_t count);
-  /// The machine was suspended.
+  /// Counts a suspension of the machine.
   void count_suspension();
-  /// Counts a request that was kept from the replicas since it crashes them.
+  /// Counts a request that was not sent to a replica because it is quarantined for crashing
+  /// replicas.
   void count_quarantined(const std::string& kind);
   void count_item(const std::string& outcome);
   void count_log_call(const std::string& call, const std::string& outcome);
   void set_configuration_version(std::uint64_t version);
-  /// Time since the log last confirmed the configuration, and the replicas' records.
+  /// Sets the time since the log last confirmed the configuration and the replica records.
   void set_fleet_age(Duration configuration, Duration replicas);
-  /// @param count records among the replicas' that name no replica.
+  /// @param count replica records that could not be decoded as a replica.
   void set_unreadable_records(std::size_t count);
-  /// @param slots that are this node's own, of all services.
+  /// @param slots replica slots assigned to this node, summed over all services.
   void set_own_slots(int slots);
   void count_full_replica();
   void set_pace_classes(const std::map<PaceClass, int>& classes);
   void set_partitions_owned(std::size_t count);
   void set_log_lines_dropped(std::uint64_t count);
 
-  /// @return all of it in the text format.
+  /// @return all metrics in the Prometheus text format.
   std::string text() const;
 
  private:
@@ -84,7 +87,7 @@
   prometheus::Gauge& partitions_owned_;
   prometheus::Gauge& log_lines_dropped_;
   prometheus::Gauge& quarantined_requests_;
-  std::set<std::string> tenants_shown_;  ///< With a series of their own.
+  std::set<std::string> tenants_with_series_;  ///< Tenants with their own rate limit series.
 };
 
 }  // namespace dockpoint
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -12,17 +12,17 @@
 namespace dockpoint {
 namespace {
 
-constexpr std::int64_t kLargestLeaseMs = 60'000;
-constexpr std::int64_t kLargestPartitions = 4'096;
-constexpr std::int64_t kLargestBytes = 1'000'000'000;
+constexpr std::int64_t kMaxLeaseMs = 60'000;
+constexpr std::int64_t kMaxPartitions = 4'096;
+constexpr std::int64_t kMaxBytes = 1'000'000'000;
 constexpr double kDefaultAddressLifetimeSeconds = 2;
 constexpr double kDefaultGraceSeconds = 10;
 constexpr std::int64_t kDefaultFreshnessMs = 2'000;
-constexpr std::int64_t kLargestFreshnessMs = 600'000;
-constexpr std::int64_t kLargestRevocationMs = 600'000;
+constexpr std::int64_t kMaxFreshnessMs = 600'000;
+constexpr std::int64_t kMaxRevocationMs = 600'000;
 constexpr double kDefaultRateWindowSeconds = 5;
 
-std::string address(ObjectReader& section, const std::string& key, bool required) {
+std::string read_address(ObjectReader& section, const std::string& key, bool required) {
   const std::string text = required ? section.required_text(key) : section.text(key);
   if (!text.empty() && !Address::parse(text)) {
     section.report(key, "is \"" + text + "\"; IP:port with a port from 1 to 65535 is expected");
@@ -30,16 +30,17 @@
   return text;
 }
 
-Duration seconds(ObjectReader& section, const std::string& key, double fallback) {
+Duration read_seconds(ObjectReader& section, const std::string& key, double default_value) {
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(section.number(key, 0.0, fallback)));
+      std::chrono::duration<double>(section.number(key, 0.0, default_value)));
 }
 
-/// @return the shorter of the two bounds on the age of what a node acts on.
+/// @return the shorter of the two bounds on the age of the data that a node acts on: configuration
+/// and drain state.
 Duration read_freshness_bound(ObjectReader& times) {
-  constexpr std::int64_t kShortestMs = to_ms(FreshnessBudget::kShortestBound);
+  constexpr std::int64_t kMinFreshnessMs = to_ms(FreshnessBudget::kShortestBound);
   const auto bound = [&](const char* key) {
-    return times.integer(key, {kShortestMs, kLargestFreshnessMs}, kDefaultFreshnessMs);
+    return times.integer(key, {kMinFreshnessMs, kMaxFreshnessMs}, kDefaultFreshnessMs);
   };
   const std::int64_t configuration = bound("configuration_in_force_ms");
   const std::int64_t drain = bound("drain_known_ms");
@@ -48,10 +49,10 @@
 
 void read_tenant_settings(ObjectReader& tenants, GatewaySettings& settings) {
   settings.revocation.strict = tenants.boolean("strict_revocation", settings.revocation.strict);
-  settings.revocation.bound = std::chrono::milliseconds(tenants.integer(
-      "revocation_ms", {1, kLargestRevocationMs}, to_ms(settings.revocation.bound)));
+  settings.revocation.bound = std::chrono::milliseconds(
+      tenants.integer("revocation_ms", {1, kMaxRevocationMs}, to_ms(settings.revocation.bound)));
   RateWindow& window = settings.rate_window;
-  window.length = seconds(tenants, "rate_window_s", kDefaultRateWindowSeconds);
+  window.length = read_seconds(tenants, "rate_window_s", kDefaultRateWindowSeconds);
   window.overage = tenants.number("rate_overage", 0.0, window.overage);
   window.slack = tenants.number("rate_slack", 0.0, window.slack);
 }
@@ -65,7 +66,7 @@
   }
 }
 
-GatewaySettings read(const Poco::JSON::Object::Ptr& document, Problems& problems) {
+GatewaySettings read_settings(const Poco::JSON::Object::Ptr& document, Problems& problems) {
   GatewaySettings settings;
   ObjectReader root(document, "", problems);
   settings.node = root.required_text("node");
@@ -78,27 +79,28 @@
     }
   }
   ObjectReader listen = root.object("listen");
-  settings.frontend_address = address(listen, "frontend", true);
-  settings.readiness_address = address(listen, "readiness", true);
-  settings.resolver_address = address(listen, "resolver", true);
-  settings.control_address = address(listen, "control", true);
-  settings.datagram_address = address(listen, "datagrams", true);
-  settings.metrics_address = address(listen, "metrics", false);
+  settings.frontend_address = read_address(listen, "frontend", true);
+  settings.readiness_address = read_address(listen, "readiness", true);
+  settings.resolver_address = read_address(listen, "resolver", true);
+  settings.control_address = read_address(listen, "control", true);
+  settings.datagram_address = read_address(listen, "datagrams", true);
+  settings.metrics_address = read_address(listen, "metrics", false);
   listen.reject_unknown_keys();
   ObjectReader log = root.object("log");
-  settings.log_address = address(log, "address", true);
+  settings.log_address = read_address(log, "address", true);
   settings.log.partitions =
-      static_cast<int>(log.required_integer("partitions", {1, kLargestPartitions}));
+      static_cast<int>(log.required_integer("partitions", {1, kMaxPartitions}));
   settings.log.record_bytes =
-      static_cast<std::size_t>(log.required_integer("record_bytes", {1024, kLargestBytes}));
+      static_cast<std::size_t>(log.required_integer("record_bytes", {1024, kMaxBytes}));
   settings.log.call_bytes =
-      static_cast<std::size_t>(log.required_integer("call_bytes", {1024, kLargestBytes}));
+      static_cast<std::size_t>(log.required_integer("call_bytes", {1024, kMaxBytes}));
   settings.log.minimum_lease =
-      std::chrono::milliseconds(log.integer("minimum_lease_ms", {1, kLargestLeaseMs}, 1'000));
+      std::chrono::milliseconds(log.integer("minimum_lease_ms", {1, kMaxLeaseMs}, 1'000));
   log.reject_unknown_keys();
   ObjectReader times = root.object("times");
-  settings.address_lifetime = seconds(times, "address_lifetime_s", kDefaultAddressLifetimeSeconds);
-  settings.grace = seconds(times, "grace_s", kDefaultGraceSeconds);
+  settings.address_lifetime =
+      read_seconds(times, "address_lifetime_s", kDefaultAddressLifetimeSeconds);
+  settings.grace = read_seconds(times, "grace_s", kDefaultGraceSeconds);
   settings.knobs.freshness_bound = read_freshness_bound(times);
   times.reject_unknown_keys();
   ObjectReader tenants = root.object("tenants");
@@ -119,7 +121,7 @@
 Result<GatewaySettings> parse_gateway_settings(const std::string& text) {
   BOOST_LEAF_AUTO(document, parse_json_object(text));
   Problems problems;
-  GatewaySettings settings = read(document, problems);
+  GatewaySettings settings = read_settings(document, problems);
   if (!problems.empty()) {
     return fail(ResultCode::kSettingsInvalid, summarize(problems), problems.front().place);
   }
--- a/src/gateway/gateway_settings.hpp
+++ b/src/gateway/gateway_settings.hpp
@@ -14,40 +14,40 @@
 
 namespace dockpoint {
 
-/// Settings of a gateway, as its settings file gives them (docs/SETTINGS.md).
+/// Settings of a gateway, read from its settings file (docs/SETTINGS.md).
 struct GatewaySettings {
   std::string node;
   std::string zone;
   std::string region;
 
   // Addresses, `IP:port`.
-  std::string frontend_address;    ///< For callers.
-  std::string readiness_address;   ///< For readiness checks.
-  std::string resolver_address;    ///< For callers that ask for addresses.
-  std::string control_address;     ///< For calls between nodes.
-  std::string datagram_address;    ///< For messages between nodes.
-  std::string metrics_address;     ///< For metrics; empty: none.
+  std::string frontend_address;    ///< Requests of callers.
+  std::string readiness_address;   ///< Readiness checks.
+  std::string resolver_address;    ///< Resolver queries for frontend addresses.
+  std::string control_address;     ///< HTTP calls between nodes.
+  std::string datagram_address;    ///< Datagrams between nodes.
+  std::string metrics_address;     ///< Metrics endpoint; disabled if empty.
   std::vector<std::string> seeds;  ///< Control addresses of other nodes.
 
-  std::string log_address;  ///< Of the service that holds the log.
+  std::string log_address;  ///< Address of the log service.
   LogLimits log;
 
-  Duration address_lifetime{};  ///< Longest time that callers may keep an answer of the resolver.
-  Duration grace{};             ///< From the order to stop to the end.
+  Duration address_lifetime{};  ///< Maximum time that callers may cache a resolver answer.
+  Duration grace{};             ///< Maximum time from the stop request to the exit of the process.
 
   RevocationPolicy revocation;
-  RateWindow rate_window;  ///< In which the rate limits of tenants hold.
+  RateWindow rate_window;  ///< Window over which the tenants' rate limits are enforced.
 
-  ColdBound cold_bound;  ///< On what replicas get that have just started.
+  ColdBound cold_bound;  ///< Bound on the requests sent to replicas that have just started.
 
-  Knobs knobs;  ///< With the changes of an experiment, if the file asks for one.
+  Knobs knobs;  ///< Includes the overrides of the file's `experiment` section.
 };
 
-/// Reads and checks a settings file.
-/// @return the settings, or an error that names every problem.
+/// Reads and validates a settings file.
+/// @return the settings, or an error that lists every problem.
 Result<GatewaySettings> load_gateway_settings(const std::string& path);
 
-/// Reads settings from the text of a file.
+/// Parses and validates the content of a settings file.
 Result<GatewaySettings> parse_gateway_settings(const std::string& text);
 
 }  // namespace dockpoint
--- a/tests/gateway/bounded_log_test.cpp
+++ b/tests/gateway/bounded_log_test.cpp
@@ -23,13 +23,13 @@
     BOOST_REQUIRE(pipe(ends.data()) == 0);
     return ends;
   }
-  /// Adds a line of the given second of the clock.
+  /// Logs a line with a timestamp of the given second.
   void add(std::int64_t second, const std::string& text) {
     spdlog::details::log_msg message(spdlog::log_clock::time_point(std::chrono::seconds(second)),
                                      {}, "dockpoint", spdlog::level::info, text);
     log.log(message);
   }
-  /// Takes what the pipe holds.
+  /// Drains the log and reads the pipe until both are empty.
   std::string read_all() {
     std::string all;
     std::array<char, 4096> part{};
@@ -52,7 +52,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(bounded_log, Fixture)
 
-BOOST_AUTO_TEST_CASE(lines_pass_in_order) {
+BOOST_AUTO_TEST_CASE(lines_are_written_in_order) {
   add(1, "first");
   add(1, "second");
   const std::string text = read_all();
@@ -60,19 +60,19 @@
   BOOST_TEST(log.dropped() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_burst_is_cut_and_what_was_cut_is_said) {
+BOOST_AUTO_TEST_CASE(burst_over_the_rate_limit_is_dropped_and_counted) {
   for (int line = 0; line < 1000; ++line) {
     add(1, "burst");
   }
   BOOST_TEST(log.dropped() > 0U);
-  const std::string said = "lines dropped count=" + std::to_string(log.dropped());
-  BOOST_TEST(read_all().find(said) != std::string::npos);
+  const std::string drop_message = "lines dropped count=" + std::to_string(log.dropped());
+  BOOST_TEST(read_all().find(drop_message) != std::string::npos);
   const auto dropped = log.dropped();
   add(2, "the next second");
   BOOST_TEST(log.dropped() == dropped);
 }
 
-BOOST_AUTO_TEST_CASE(a_reader_that_stops_reading_holds_nothing_up) {
+BOOST_AUTO_TEST_CASE(stalled_reader_does_not_block_logging) {
   const std::string line(1000, 'x');
   for (int second = 0; second < 10; ++second) {
     for (int count = 0; count < 200; ++count) {
