--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -15,35 +15,36 @@
 namespace dockpoint {
 namespace {
 
-/// Between two rounds of time limits and calls that are due.
+/// Interval at which timeouts and due calls are checked.
 constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 
-/// Callers may keep an answer of the resolver for this long, if the settings allow it.
+/// Time that callers may cache a resolver answer, unless the settings give a shorter one.
 constexpr Duration kAddressLifetime = std::chrono::seconds(1);
 
-/// Some callers keep an answer for this many times its lifetime.
-constexpr int kAddressOverstay = 3;
+/// Some callers cache a resolver answer for up to this multiple of its lifetime.
+constexpr int kAddressLifetimeMultiple = 3;
 
-/// The process ends this long before the grace time is over.
+/// The process exits this long before the grace period is over.
 constexpr Duration kGraceMargin = std::chrono::milliseconds(300);
 
-/// Share of the grace time after which a request might not end in time: it is sent elsewhere.
-constexpr double kGraceForRequests = 0.55;
+/// Share of the grace period after which new requests are refused, so that callers retry on another
+/// node: they might not complete before the process exits.
+constexpr double kGraceShareForRequests = 0.55;
 
-/// Callers that are sent elsewhere may go at once.
-constexpr const char* kElsewhereRetryAfter = "0.02";
+/// Retry-After of a stopping node, in seconds: another node can serve the request at once.
+constexpr const char* kStoppingRetryAfter = "0.02";
 
-/// A caller whose route this node may not know yet: the next question to a peer is answered by
-/// then.
-constexpr const char* kUnsureRetryAfter = "0.5";
+/// Retry-After if this node's configuration may be stale, in seconds: the next query to a peer is
+/// answered by then.
+constexpr const char* kStaleConfigurationRetryAfter = "0.5";
 
-/// Batch items may end for this long after the order to stop.
-constexpr Duration kItemGrace = std::chrono::milliseconds(2500);
+/// Time after the stop request within which running batch items may finish.
+constexpr Duration kItemDrainTimeout = std::chrono::milliseconds(2500);
 
-/// Answers with the fleet's state that are under way at once; one may be a megabyte.
-constexpr std::size_t kStateAnswersAtOnce = 2;
+/// Maximum number of fleet state responses in progress; each may be a megabyte.
+constexpr std::size_t kMaxConcurrentStateResponses = 2;
 
-std::uint64_t start_number() {
+std::uint64_t new_run_id() {
   return static_cast<std::uint64_t>(net::unix_now_ms());
 }
 
@@ -55,13 +56,13 @@
       knobs_(knobs),
       settings_(std::move(settings)),
       parts_(parts),
-      run_(start_number()),
+      run_id_(new_run_id()),
       freshness_(knobs.freshness_bound),
       replicas_(knobs),
       cold_limiter_(knobs, settings_.cold_bound, settings_.node),
       slot_shares_(knobs, settings_.node),
-      selector_(knobs, replicas_, settings_.zone, combine_hash(hash64(settings_.node), run_)),
-      rate_limiter_(knobs, settings_.rate_window, static_cast<std::uint32_t>(run_)),
+      selector_(knobs, replicas_, settings_.zone, combine_hash(hash64(settings_.node), run_id_)),
+      rate_limiter_(knobs, settings_.rate_window, static_cast<std::uint32_t>(run_id_)),
       context_{
           loop,           knobs,         parts.traffic, client,
           replicas_,      selector_,     metrics_,      std::make_shared<RoutingConfiguration>(),
@@ -88,7 +89,7 @@
       peers_(
           context_,
           {settings_.datagram_address, settings_.frontend_address, settings_.control_address},
-          settings_.zone, run_,
+          settings_.zone, run_id_,
           [this](const FleetPosition& position, const std::string& control_address) {
             const TimePoint now = net::steady_now();
             if (position.version > 0) {
@@ -97,18 +98,18 @@
             catch_up_.record_peer_position(position, control_address, now);
             catch_up(now);
           },
-          [this](const SlotRequest& request) { take_slot_request(request); },
+          [this](const SlotRequest& request) { handle_slot_request(request); },
           [this](const CrashReport& report, const std::string& address) {
             crash_watch_.take(report, address, net::steady_now());
           },
           [this](const std::string& address) { crash_watch_.tell_what_is_decided(address); }),
       crash_watch_(context_, log_, parts.quarantine_topic,
-                   combine_hash(hash64(settings_.node), run_),
+                   combine_hash(hash64(settings_.node), run_id_),
                    [this](const std::string& address, const std::string& bytes) {
                      peers_.send_bytes(address, bytes);
                    }),
-      batch_(context_, log_, parts.batch_topics, {settings_.control_address, run_},
-             combine_hash(hash64(settings_.node), run_)),
+      batch_(context_, log_, parts.batch_topics, {settings_.control_address, run_id_},
+             combine_hash(hash64(settings_.node), run_id_)),
       frontend_(loop, [this](const auto& exchange) { serve_frontend(exchange); }),
       readiness_(loop, [this](const auto& exchange) { serve_readiness(exchange); }),
       resolver_(loop, [this](const auto& exchange) { serve_resolver(exchange); }),
@@ -121,12 +122,12 @@
 }
 
 void Gateway::start() {
-  const bool others_expected =
+  const bool has_other_seeds =
       std::any_of(settings_.seeds.begin(), settings_.seeds.end(),
                   [&](const std::string& seed) { return seed != settings_.control_address; });
-  rate_limiter_.expect_others(others_expected);
-  cold_limiter_.expect_others(others_expected);
-  relayed_log_.expect_others(others_expected);
+  rate_limiter_.expect_others(has_other_seeds);
+  cold_limiter_.expect_others(has_other_seeds);
+  relayed_log_.expect_others(has_other_seeds);
   fleet_.set_record_server(record_server_);
   selector_.limit_cold_replicas(cold_limiter_);
   selector_.use_slot_shares(slot_shares_);
@@ -146,13 +147,13 @@
     metrics_server_.listen(settings_.metrics_address);
   }
   spdlog::info("gateway: started node={} zone={} run={} seeds={}", settings_.node, settings_.zone,
-               run_, settings_.seeds.size());
+               run_id_, settings_.seeds.size());
   crash_watch_.catch_up(net::steady_now());
   tick();
 }
 
 std::vector<std::string> Gateway::seed_datagram_addresses() const {
-  // All nodes use the same ports: a seed's control address tells its address for datagrams.
+  // All nodes use the same ports, so a seed's datagram address is its host with the own port.
   const std::optional<Address> own = Address::parse(settings_.datagram_address);
   std::vector<std::string> addresses;
   for (const std::string& seed : settings_.seeds) {
@@ -179,7 +180,7 @@
   });
 }
 
-void Gateway::note_suspension(TimePoint now) {
+void Gateway::detect_suspension(TimePoint now) {
   const std::optional<Duration> suspended = suspension_.check(now, net::running_now());
   if (suspended) {
     spdlog::warn("gateway: the machine was suspended forMs={} version={} online={} leaseValid={}",
@@ -193,19 +194,19 @@
 
 void Gateway::tick() {
   const TimePoint now = net::steady_now();
-  note_suspension(now);
+  detect_suspension(now);
   log_.tick(now);
-  follow_fleet_size(now);
+  update_fleet_size(now);
   fleet_.tick(now, peers_.peers_reaching_log());
   record_server_.tick(now);
   metrics_.set_fleet_age(fleet_.configuration_age(now).age, fleet_.replicas_age(now).age);
-  announce_knowledge();
+  announce_fleet_position();
   peers_.set_pending_items(batch_.pending_items());
   peers_.set_log_reachable(batch_.lease_valid(now));
   rate_limiter_.tick(now);
   peers_.tick(now);
   crash_watch_.tick(peers_.alive(), now);
-  note_outliers(now);
+  refresh_outliers(now);
   batch_.set_peers_reach_log(peers_.some_peer_reaches_log());
   batch_.tick(now);
   online_.tick(now);
@@ -226,7 +227,7 @@
   }
 }
 
-void Gateway::follow_fleet_size(TimePoint now) {
+void Gateway::update_fleet_size(TimePoint now) {
   if (peers_.members_version() != members_version_) {
     members_version_ = peers_.members_version();
     if (cold_limiter_.limits_any()) {
@@ -234,10 +235,10 @@
     }
     relayed_log_.set_members(peers_.alive());
   }
-  if (now >= next_deal_) {
-    next_deal_ = now + knobs_.replica_digest_interval;
-    deal_slots(now);
-    note_paces(now);
+  if (now >= next_slot_assignment_) {
+    next_slot_assignment_ = now + knobs_.replica_digest_interval;
+    assign_slots(now);
+    refresh_pace_classes(now);
   }
   if (fleet_.replicas_known()) {
     relayed_log_.set_replicas(fleet_.replicas());
@@ -247,24 +248,24 @@
   peers_.set_slices(fleet_.slices());
 }
 
-void Gateway::deal_slots(TimePoint now) {
+void Gateway::assign_slots(TimePoint now) {
   const std::size_t holders = slot_shares_.holders();
-  // A change of holders clears what was dealt until a request asks for it again.
+  // set_holders() clears the assignment if the holders change; the next request recomputes it.
   metrics_.set_own_slots(slot_shares_.own_slots());
   slot_shares_.set_holders(peers_.slot_holders(now));
-  const bool dealt = std::max(holders, slot_shares_.holders()) >= knobs_.slot_share_nodes;
-  if (dealt && slot_shares_.holders() != holders) {
-    spdlog::info("routing: slots are dealt among other nodes nodes={} before={}",
+  const bool shares_enabled = std::max(holders, slot_shares_.holders()) >= knobs_.slot_share_nodes;
+  if (shares_enabled && slot_shares_.holders() != holders) {
+    spdlog::info("routing: replica slots reassigned among nodes nodes={} before={}",
                  slot_shares_.holders(), holders);
   }
 }
 
-void Gateway::note_paces(TimePoint now) {
+void Gateway::refresh_pace_classes(TimePoint now) {
   for (const PaceChange& change : replicas_.paces().update(now)) {
     const Replica* replica = replicas_.find_key(change.replica_key);
     if (replica != nullptr) {
       spdlog::info(
-          "fleet: usual pace of a replica is {} replica={} service={} factor={:.2f} before={}",
+          "fleet: replica pace class changed to {} replica={} service={} factor={:.2f} before={}",
           to_string(change.now), replica->record.id, replica->record.service, change.factor,
           to_string(change.before));
     }
@@ -282,16 +283,16 @@
   }
 }
 
-void Gateway::take_slot_request(const SlotRequest& request) {
+void Gateway::handle_slot_request(const SlotRequest& request) {
   if (const Replica* replica = replicas_.find_key(request.replica_key)) {
     batch_.yield_slot(replica->record.id);
   }
 }
 
-void Gateway::note_outliers(TimePoint now) {
+void Gateway::refresh_outliers(TimePoint now) {
   for (const Replica* replica : replicas_.update_outliers(now)) {
     spdlog::info("fleet: replica {} replica={} service={} failures={:.1f} ownFailures={:.1f}",
-                 replica->outlier ? "left out" : "taken back", replica->record.id,
+                 replica->outlier ? "ejected" : "reinstated", replica->record.id,
                  replica->record.service, replica->failures(now), replica->own_failures.value(now));
   }
 }
@@ -306,8 +307,9 @@
     cold_rates[name] = service.cold_per_second;
   }
   cold_limiter_.set_rates(std::move(cold_rates));
-  members_version_ = 0;  // The limiter may not have been told of members so far.
-  announce_knowledge();
+  members_version_ =
+      0;  // Forces an update: the cold limiter may not have received the members yet.
+  announce_fleet_position();
 }
 
 void Gateway::serve_frontend(const net::ExchangePtr& exchange) {
@@ -317,10 +319,10 @@
     exchange->respond(503, {{"Retry-After", "0.5"}}, {});
     return;
   }
-  const Duration stopping_for = exchange->received() - stop_requested_at_;
-  if (stopping_ &&
-      stopping_for > std::chrono::duration_cast<Duration>(settings_.grace * kGraceForRequests)) {
-    exchange->respond(503, {{"Retry-After", kElsewhereRetryAfter}}, {});
+  const Duration time_since_stop = exchange->received() - stop_requested_at_;
+  if (stopping_ && time_since_stop > std::chrono::duration_cast<Duration>(settings_.grace *
+                                                                          kGraceShareForRequests)) {
+    exchange->respond(503, {{"Retry-After", kStoppingRetryAfter}}, {});
     return;
   }
   const net::RequestHead& head = exchange->request();
@@ -346,13 +348,13 @@
 }
 
 bool Gateway::admit_caller(const net::ExchangePtr& exchange,
-                           const RoutingConfiguration& configuration, bool key_needed,
+                           const RoutingConfiguration& configuration, bool key_required,
                            const Tenant*& tenant) {
   net::RequestHead& head = exchange->request();
-  const ConfigurationFreshness confidence = configuration_confidence(exchange->received());
+  const ConfigurationFreshness freshness = configuration_freshness(exchange->received());
   const CallerIdentity caller =
-      identify_caller(configuration.tenants, key_needed, context_.protocol.read_credential(head),
-                      confidence, settings_.revocation);
+      identify_caller(configuration.tenants, key_required, context_.protocol.read_credential(head),
+                      freshness, settings_.revocation);
   switch (caller.verdict) {
     case CallerVerdict::kNoTenant:
     case CallerVerdict::kTenant:
@@ -365,21 +367,23 @@
       return false;
     case CallerVerdict::kUnknownKey:
       metrics_.count_caller_refused("unknown_key");
-      spdlog::info("online: key not known version={} confirmedMsAgo={}", configuration.version,
-                   to_ms(confidence.age));
+      spdlog::info("online: unknown API key version={} confirmedMsAgo={}", configuration.version,
+                   to_ms(freshness.age));
       exchange->respond(401, {}, {});
       return false;
     case CallerVerdict::kUnsure:
       metrics_.count_caller_refused("unsure");
-      spdlog::info("online: cannot vouch for the key version={} confirmedMsAgo={}",
-                   configuration.version, to_ms(confidence.age));
-      exchange->respond(503, {{"Retry-After", kUnsureRetryAfter}}, {});
+      spdlog::info(
+          "online: API key cannot be verified, configuration may be stale version={} "
+          "confirmedMsAgo={}",
+          configuration.version, to_ms(freshness.age));
+      exchange->respond(503, {{"Retry-After", kStaleConfigurationRetryAfter}}, {});
       return false;
   }
   return false;
 }
 
-ConfigurationFreshness Gateway::configuration_confidence(TimePoint now) const {
+ConfigurationFreshness Gateway::configuration_freshness(TimePoint now) const {
   const WatchAge age = fleet_.configuration_age(now);
   return {age.state == WatchState::kFollowing, age.age};
 }
@@ -393,9 +397,9 @@
     exchange->respond(404, {}, {});
     return;
   }
-  // The route may have been added since the log was lost. A caller takes 404 as final; after 503 it
-  // asks another node, which may know.
-  exchange->respond(503, {{"Retry-After", kUnsureRetryAfter}}, {});
+  // The route may have been added since this node lost contact with the log. Callers treat 404 as
+  // final; after 503 they retry on another node, which may have the route.
+  exchange->respond(503, {{"Retry-After", kStaleConfigurationRetryAfter}}, {});
 }
 
 void Gateway::serve_readiness(const net::ExchangePtr& exchange) {
@@ -415,7 +419,7 @@
   }
   const std::size_t limit = parts_.resolver.maximum_addresses();
   if (addresses.size() > limit) {
-    // Each node tells another part, so that together they tell all.
+    // Each node starts at a different offset, so that together the nodes return all addresses.
     std::rotate(
         addresses.begin(),
         addresses.begin() + static_cast<std::ptrdiff_t>(hash64(settings_.node) % addresses.size()),
@@ -433,14 +437,14 @@
   const RouteConfig* route =
       configuration->match(head.headers.get("Host"), net::Target::parse(head.target).path);
   if (route == nullptr || route->kind != RouteKind::kBatch) {
-    exchange->respond(503, {}, {});  // The nodes know different configurations.
+    exchange->respond(503, {}, {});  // The nodes have different configurations.
     return;
   }
   const std::string_view text = head.headers.get(kForwardedHeader);
   std::int64_t wait_ms = 0;
   if (std::from_chars(text.data(), text.data() + text.size(), wait_ms).ec != std::errc{}) {
-    // No time to wait: the other node goes on by itself.
-    spdlog::warn("batch: job passed on without a time limit header=\"{}\"", text);
+    // The wait is then zero: the forwarding node continues on its own.
+    spdlog::warn("batch: forwarded job has no valid time limit header=\"{}\"", text);
   }
   batch_.submit(exchange, *route, std::chrono::milliseconds(wait_ms));
 }
@@ -451,7 +455,7 @@
     return;
   }
   if (auto call = context_.protocol.read_job_call(exchange->request())) {
-    // The node that passes it on has named the tenant.
+    // The forwarding node has already set the tenant's name.
     call->job = tenant_job_id(context_.protocol.named_tenant(exchange->request()), call->job);
     batch_.handle(exchange, *call, true);
     return;
@@ -465,19 +469,19 @@
     return;
   }
   if (path == kFleetStatePath) {
-    std::erase_if(state_answers_, [](const auto& answer) {
-      const net::ExchangePtr held = answer.lock();
-      return !held || held->pending_output() == 0;
+    std::erase_if(active_state_responses_, [](const auto& answer) {
+      const net::ExchangePtr pending_exchange = answer.lock();
+      return !pending_exchange || pending_exchange->pending_output() == 0;
     });
-    if (state_answers_.size() >= kStateAnswersAtOnce) {
-      exchange->respond(503, {}, {});  // The one that asks goes on to another peer.
+    if (active_state_responses_.size() >= kMaxConcurrentStateResponses) {
+      exchange->respond(503, {}, {});  // The querying node tries another peer.
       return;
     }
     FleetState state = fleet_.state();
     state.owners = batch_.owner_addresses();
     leave_out_known(state, asker_knowledge(exchange->request().target));
     exchange->respond(200, {{"Content-Type", "application/msgpack"}}, pack(state));
-    state_answers_.push_back(exchange);
+    active_state_responses_.push_back(exchange);
     return;
   }
   exchange->respond(404, {}, {});
@@ -487,7 +491,7 @@
   exchange->respond(200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics_.text());
 }
 
-void Gateway::announce_knowledge() {
+void Gateway::announce_fleet_position() {
   const FleetKnowledge known = fleet_.knowledge();
   peers_.set_fleet_position({known.version, known.replicas_position, known.operator_position});
 }
@@ -498,13 +502,13 @@
       relayed_log_.direct() ? known.replicas_position : std::numeric_limits<LogOffset>::max();
   catch_up_.set_own_position({known.version, replicas, known.operator_position});
   const auto address = catch_up_.next_peer_to_query(
-      now, !fleet_.needs_peer(now), [this](bool own_zone) { return peers_to_ask(own_zone); });
+      now, !fleet_.needs_peer(now), [this](bool own_zone) { return peers_to_query(own_zone); });
   if (address) {
-    ask_peer(*address);
+    query_peer(*address);
   }
 }
 
-std::vector<std::string> Gateway::peers_to_ask(bool own_zone) const {
+std::vector<std::string> Gateway::peers_to_query(bool own_zone) const {
   std::vector<std::string> addresses =
       own_zone ? peers_.zone_control_addresses() : peers_.control_addresses();
   if (addresses.empty() && !own_zone) {
@@ -514,21 +518,21 @@
   return addresses;
 }
 
-void Gateway::ask_peer(const std::string& control_address) {
+void Gateway::query_peer(const std::string& control_address) {
   const std::optional<Address> address = Address::parse(control_address);
   if (!address) {
-    spdlog::warn("fleet: address of a peer cannot be read address={}", control_address);
+    spdlog::warn("fleet: invalid peer address address={}", control_address);
     catch_up_.query_finished();
     return;
   }
   FleetKnowledge known = fleet_.knowledge();
   if (!relayed_log_.direct()) {
-    // The replicas' records come in parts; all of them would be megabytes.
+    // Replica records are relayed in slices; a full state would be megabytes.
     known.replicas_known = true;
     known.replicas_position = std::numeric_limits<LogOffset>::max();
   }
   const net::RequestHead head{"GET", fleet_state_target(known), {{"Host", control_address}}};
-  // A kept connection may be silent for good while new ones work.
+  // Always opens a new connection: a pooled one may be dead without notice while new ones work.
   net::CallOptions options;
   options.maximum_idle = Duration{};
   net::SimpleCall::start(
@@ -540,18 +544,19 @@
         }
         catch_up_.query_finished();
         if (outcome.failure || outcome.head.status != 200) {
-          spdlog::info("fleet: peer did not answer peer={} status={} failure={}", control_address,
-                       outcome.head.status,
+          spdlog::info("fleet: state query to peer failed peer={} status={} failure={}",
+                       control_address, outcome.head.status,
                        outcome.failure ? static_cast<int>(*outcome.failure) : -1);
           return;
         }
         const auto state = unpack<FleetState>(outcome.body);
         if (!state) {
-          spdlog::warn("fleet: answer of a peer cannot be read peer={} bytes={}", control_address,
-                       outcome.body.size());
+          spdlog::warn("fleet: cannot decode state received from peer peer={} bytes={}",
+                       control_address, outcome.body.size());
         } else {
           spdlog::info(
-              "fleet: peer answered peer={} bytes={} version={} position={} ownPosition={}",
+              "fleet: received state from peer peer={} bytes={} version={} position={} "
+              "ownPosition={}",
               control_address, outcome.body.size(), state->version, state->replicas_position,
               fleet_.replicas_position());
           fleet_.take(*state, control_address);
@@ -575,15 +580,15 @@
 
 void Gateway::tick_stop(TimePoint now) {
   const Duration age = now - stop_requested_at_;
-  if (!left_group_ && (batch_.drained() || age > kItemGrace)) {
+  if (!left_group_ && (batch_.drained() || age > kItemDrainTimeout)) {
     left_group_ = true;
     batch_.leave();
   }
-  const bool addresses_forgotten =
-      age > std::min(kAddressLifetime, settings_.address_lifetime) * kAddressOverstay;
+  const bool cached_addresses_expired =
+      age > std::min(kAddressLifetime, settings_.address_lifetime) * kAddressLifetimeMultiple;
   const bool callers_gone = online_.in_flight() == 0 && frontend_.active() == 0 &&
                             now - last_caller_at_ > kAddressLifetime;
-  const bool idle = left_group_ && addresses_forgotten && callers_gone;
+  const bool idle = left_group_ && cached_addresses_expired && callers_gone;
   if (idle || age > settings_.grace - kGraceMargin) {
     spdlog::info("gateway: stopped afterMs={} online={}", to_ms(age), online_.in_flight());
     loop_.stop();
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -20,18 +20,19 @@
 #include "gateway/relayed_log.hpp"
 #include "gateway/resolver_protocol.hpp"
 
-/// One node of dockpoint before a fleet of replicas.
+/// A dockpoint node: routes online requests and batch items to the replicas of a fleet.
 ///
-/// Everything runs on one event loop: a node has half a core, and a second thread would only add
-/// switches between the two. Nothing that must last is kept here: routes, replicas and batch jobs
-/// are read from the log when the node starts; membership and load come from the other nodes.
+/// Everything runs on one event loop: a node has half a core, so a second thread would only add
+/// context switches. The node keeps no durable state: it reads routes, replicas and batch jobs from
+/// the log when it starts, and receives membership and load from the other nodes.
 ///
-/// Stop: the node says at once that it is not ready, leaves the answers of its peers' resolvers,
-/// lets batch items end and gives its partitions back. It goes on serving callers that still hold
-/// its address, asking them to leave, and ends when they have, or when the grace time is over.
+/// Shutdown: the node reports itself as not ready at once and leaves the membership, which removes
+/// it from its peers' resolver answers. It lets running batch items finish and releases its
+/// partitions. It keeps serving callers that have cached its address, closing their connections,
+/// and exits when they have gone or when the grace period is over.
 namespace dockpoint {
 
-/// What a gateway needs from its surroundings. Everything is borrowed and must outlive it.
+/// External dependencies of a gateway. References and pointers are not owned and must outlive it.
 struct GatewayParts {
   PartitionedLog& log;
   const TrafficProtocol& traffic;
@@ -39,23 +40,23 @@
   const FleetReader& fleet_reader;
   FleetTopics fleet_topics;
   BatchTopics batch_topics;
-  std::string quarantine_topic;  ///< Of requests that crash replicas.
-  BoundedLog* process_log;       ///< Written to its descriptor several times a second; may be null.
+  std::string quarantine_topic;  ///< Topic of requests that crash replicas.
+  BoundedLog* process_log;       ///< Drained several times a second; may be null.
 };
 
-/// See the top of this file.
+/// A dockpoint node; see the top of this file.
 class Gateway {
  public:
   Gateway(boost::asio::io_context& loop, net::HttpClient& client, const Knobs& knobs,
           GatewaySettings settings, const GatewayParts& parts);
   ~Gateway();
 
-  /// Opens all addresses and begins to serve.
+  /// Binds all addresses and starts serving.
   /// @throws boost::system::system_error if an address cannot be bound.
   void start();
-  /// Begins to stop; the event loop ends by itself.
+  /// Starts the shutdown; the gateway stops the event loop when it is complete.
   void stop();
-  /// Takes settings that may change while the node runs: the seeds.
+  /// Applies the settings that can change while the node runs: only the seeds.
   void reload(const GatewaySettings& settings);
 
   GatewayMetrics& metrics() { return metrics_; }
@@ -64,49 +65,57 @@
   void schedule_tick();
   void tick();
   void tick_stop(TimePoint now);
-  /// Notices that the machine was suspended: what this node knows may be old.
-  void note_suspension(TimePoint now);
+  /// Detects that the machine was suspended. The node's state may be stale then, so it is marked as
+  /// unconfirmed.
+  void detect_suspension(TimePoint now);
   void apply_configuration();
-  /// Takes what is known of the fleet's members and size to the parts that go by it.
-  void follow_fleet_size(TimePoint now);
-  /// Finds replicas that fail far more often than others, and logs what has changed.
-  void note_outliers(TimePoint now);
-  /// Takes the nodes that are heard now to the deal of slots.
-  void deal_slots(TimePoint now);
-  void note_paces(TimePoint now);
-  /// An online request was sent to a replica that is full: a batch item there gives its slot up.
+  /// Passes the current members and the size of the fleet to the components that depend on them.
+  void update_fleet_size(TimePoint now);
+  /// Runs outlier detection on replica failures and logs every ejection and reinstatement.
+  void refresh_outliers(TimePoint now);
+  /// Divides the replica slots among the nodes that are currently heard from.
+  void assign_slots(TimePoint now);
+  /// Updates the pace classes of the replicas and logs the changes.
+  void refresh_pace_classes(TimePoint now);
+  /// Makes a batch item on a full replica yield its slot to an online request that was sent there.
+  /// The item is run by this node or by a peer, which is then sent the request.
   void request_slot(const Replica& replica);
-  void take_slot_request(const SlotRequest& request);
+  /// Handles a peer's request to yield a batch item's slot.
+  void handle_slot_request(const SlotRequest& request);
   void serve_frontend(const net::ExchangePtr& exchange);
-  /// Decides who the caller is. Refuses one that may not go on; for the others the request names
-  /// the tenant from then on in place of the key.
-  /// @param tenant set to the caller's tenant, or null.
-  /// @return whether the caller may go on.
+  /// Authenticates the caller. Responds with an error if it is not admitted; otherwise replaces the
+  /// API key in the request by the tenant's name.
+  /// @param key_required whether a request without a key is refused.
+  /// @param tenant set to the caller's tenant, or null if it has none.
+  /// @return whether the caller is admitted.
   bool admit_caller(const net::ExchangePtr& exchange, const RoutingConfiguration& configuration,
-                    bool key_needed, const Tenant*& tenant);
-  ConfigurationFreshness configuration_confidence(TimePoint now) const;
-  /// No route of the configuration in force matches the request.
+                    bool key_required, const Tenant*& tenant);
+  ConfigurationFreshness configuration_freshness(TimePoint now) const;
+  /// Responds to a request that matches no route of the configuration in force.
   void refuse_without_route(const net::ExchangePtr& exchange, std::string_view path);
   void serve_readiness(const net::ExchangePtr& exchange);
   void serve_resolver(const net::ExchangePtr& exchange);
   void serve_control(const net::ExchangePtr& exchange);
-  /// Takes a job that another node could not bring into the log.
+  /// Accepts a batch job forwarded by a node that could not append it to the log.
   void serve_forwarded_job(const net::ExchangePtr& exchange);
   void serve_metrics(const net::ExchangePtr& exchange);
-  /// Tells the other nodes, with the next digest, how far this node's knowledge reaches.
-  void announce_knowledge();
-  /// Asks a peer what it knows of the fleet, if it is time to.
+  /// Sets the log positions and configuration version that the next digest announces to other
+  /// nodes.
+  void announce_fleet_position();
+  /// Queries a peer for its fleet state if a query is due.
   void catch_up(TimePoint now);
-  void ask_peer(const std::string& control_address);
-  /// @return control addresses of nodes that may know the fleet.
-  std::vector<std::string> peers_to_ask(bool own_zone) const;
+  void query_peer(const std::string& control_address);
+  /// @return control addresses of nodes that may have the fleet state; the seeds if no peer is
+  /// known.
+  /// @param own_zone only peers in this node's zone, without the seeds.
+  std::vector<std::string> peers_to_query(bool own_zone) const;
   std::vector<std::string> seed_datagram_addresses() const;
 
   boost::asio::io_context& loop_;
   const Knobs& knobs_;
   GatewaySettings settings_;
   const GatewayParts parts_;
-  const std::uint64_t run_;
+  const std::uint64_t run_id_;
   const FreshnessBudget freshness_;
   GatewayMetrics metrics_;
   ReplicaDirectory replicas_;
@@ -131,15 +140,16 @@
   net::HttpServer metrics_server_;
   boost::asio::steady_timer timer_;
   SuspensionDetector suspension_;
-  std::vector<std::weak_ptr<net::Exchange>> state_answers_;  ///< Under way.
-  std::uint64_t members_version_ = 0;  ///< That the parts that go by members know.
-  TimePoint next_deal_{};              ///< When slots are dealt among the nodes heard again.
+  std::vector<std::weak_ptr<net::Exchange>>
+      active_state_responses_;         ///< Fleet state responses in progress.
+  std::uint64_t members_version_ = 0;  ///< Members version last passed to the components.
+  TimePoint next_slot_assignment_{};   ///< When slots are next divided among nodes.
   TimePoint stop_requested_at_{};
   TimePoint last_caller_at_{};
   bool stopping_ = false;
   bool left_group_ = false;
   std::shared_ptr<bool> alive_ =
-      std::make_shared<bool>(true);  ///< For calls that outlive the node.
+      std::make_shared<bool>(true);  ///< False after destruction; checked by late callbacks.
 };
 
 }  // namespace dockpoint
