--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -250,7 +250,8 @@
 
 void Gateway::assign_slots(TimePoint now) {
   const std::size_t holders = slot_shares_.holders();
-  // set_holders() clears the assignment if the holders change; the next request recomputes it.
+  // Read before set_holders(), which clears the assignments if the holders have changed; they are
+  // recomputed when a request needs them.
   metrics_.set_own_slots(slot_shares_.own_slots());
   slot_shares_.set_holders(peers_.slot_holders(now));
   const bool shares_enabled = std::max(holders, slot_shares_.holders()) >= knobs_.slot_share_nodes;
@@ -521,7 +522,7 @@
 void Gateway::query_peer(const std::string& control_address) {
   const std::optional<Address> address = Address::parse(control_address);
   if (!address) {
-    spdlog::warn("fleet: invalid peer address address={}", control_address);
+    spdlog::warn("fleet: cannot parse a peer's address address={}", control_address);
     catch_up_.query_finished();
     return;
   }
@@ -544,18 +545,18 @@
         }
         catch_up_.query_finished();
         if (outcome.failure || outcome.head.status != 200) {
-          spdlog::info("fleet: state query to peer failed peer={} status={} failure={}",
+          spdlog::info("fleet: query for a peer's state failed peer={} status={} failure={}",
                        control_address, outcome.head.status,
                        outcome.failure ? static_cast<int>(*outcome.failure) : -1);
           return;
         }
         const auto state = unpack<FleetState>(outcome.body);
         if (!state) {
-          spdlog::warn("fleet: cannot decode state received from peer peer={} bytes={}",
-                       control_address, outcome.body.size());
+          spdlog::warn("fleet: cannot decode a peer's state peer={} bytes={}", control_address,
+                       outcome.body.size());
         } else {
           spdlog::info(
-              "fleet: received state from peer peer={} bytes={} version={} position={} "
+              "fleet: received a peer's state peer={} bytes={} version={} position={} "
               "ownPosition={}",
               control_address, outcome.body.size(), state->version, state->replicas_position,
               fleet_.replicas_position());
