--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -28,8 +28,8 @@
 ///
 /// Shutdown: the node reports itself as not ready at once and leaves the membership, which removes
 /// it from its peers' resolver answers. It lets running batch items finish and releases its
-/// partitions. It keeps serving callers that have cached its address, closing their connections,
-/// and exits when they have gone or when the grace period is over.
+/// partitions. It keeps serving callers that have cached its address, asking them in every response
+/// to close the connection, and exits when they have gone or when the grace period is over.
 namespace dockpoint {
 
 /// External dependencies of a gateway. References and pointers are not owned and must outlive it.
