--- a/tests/platform/soak/soak.mjs
+++ b/tests/platform/soak/soak.mjs
@@ -70,7 +70,7 @@
 const RATE_WINDOW = { windowMs: 5000, overage: 0.1, slack: 20 };
 /**
  * A tenant below its limit may be refused for so long after a fault: nodes that start take themselves for parts
- * of a large fleet for 5 s (`kToldNodesTime` of the rate limiter), and then their buckets fill.
+ * of a large fleet for 5 s (`kReportedNodesTime` of the rate limiter), and then their buckets fill.
  */
 const LIMIT_SETTLE_MS = 6000;
 /** Tenants go on sending for so long after the last fault. */
