--- a/tests/platform/crashing_requests_test.cpp
+++ b/tests/platform/crashing_requests_test.cpp
@@ -19,11 +19,12 @@
 constexpr std::uint16_t kFirstReplicaPort = 28'210;
 constexpr int kReplicas = 12;
 constexpr const char* kCrashingBody = "crash";
-constexpr const char* kResettingBody = "reset";  ///< Breaks the connection; the replica lives on.
+constexpr const char* kConnectionResetBody =
+    "reset";  ///< Breaks the connection; the replica lives on.
 
 /// Crashes after which a request has to be known, and further ones that may be under way meanwhile.
-constexpr int kCrashesNeeded = 3;
-constexpr int kCrashesMeanwhile = 3;
+constexpr int kQuarantineCrashes = 3;
+constexpr int kConcurrentCrashes = 3;
 
 /// Two nodes before replicas that end when they are asked with `kCrashingBody`.
 struct Fixture {
@@ -60,7 +61,7 @@
     exchange->write("id: 1\ndata: a\n\n");
     if (exchange->body() == kCrashingBody) {
       replica.crash();
-    } else if (exchange->body() == kResettingBody) {
+    } else if (exchange->body() == kConnectionResetBody) {
       exchange->abort();
     } else {
       exchange->end();
@@ -83,13 +84,13 @@
     }
   }
 
-  void turn() {
+  void poll_once() {
     loop.run_one_for(std::chrono::milliseconds(5));
     store.tick();
   }
   void wait_for(const std::function<bool()>& done) {
     while (!done()) {
-      turn();
+      poll_once();
     }
   }
   void run_for(Duration time) {
@@ -99,14 +100,14 @@
   void wait_until_ready() {
     for (const int node : {1, 2}) {
       wait_for([&] {
-        const auto outcome = ask(node, "hello");
+        const auto outcome = send_request(node, "hello");
         return !outcome.failure && outcome.head.status == 200;
       });
     }
   }
 
   /// Sends a stream's request with an id of its own, and waits for its end.
-  net::SimpleCall::Outcome ask(int node, const std::string& body) {
+  net::SimpleCall::Outcome send_request(int node, const std::string& body) {
     return call(node, 0, "POST", "/chat/1", body);
   }
   net::SimpleCall::Outcome call(int node, int port, const std::string& method,
@@ -125,9 +126,9 @@
   }
 
   /// Sends the crashing request at both nodes by turns.
-  void ask_crashing(int times) {
+  void send_crashing_requests(int times) {
     for (int round = 0; round < times; ++round) {
-      ask(1 + round % 2, kCrashingBody);
+      send_request(1 + round % 2, kCrashingBody);
     }
   }
 };
@@ -136,19 +137,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(crashing_requests, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_request_that_crashes_replicas_reaches_few_of_them) {
-  ask_crashing(kReplicas - 1);
-  BOOST_TEST(crashed() <= kCrashesNeeded + kCrashesMeanwhile);
+BOOST_AUTO_TEST_CASE(a_crashing_request_is_quarantined_after_few_crashes) {
+  send_crashing_requests(kReplicas - 1);
+  BOOST_TEST(crashed() <= kQuarantineCrashes + kConcurrentCrashes);
   for (const int node : {1, 2}) {
-    BOOST_TEST(ask(node, "hello").head.status == 200);
+    BOOST_TEST(send_request(node, "hello").head.status == 200);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_quarantined_request_is_refused_at_once_with_a_time_to_come_back) {
-  ask_crashing(kReplicas - 1);
+BOOST_AUTO_TEST_CASE(a_quarantined_request_is_refused_with_retry_after) {
+  send_crashing_requests(kReplicas - 1);
   const int before = crashed();
   for (const int node : {1, 2}) {
-    const auto refusal = ask(node, kCrashingBody);
+    const auto refusal = send_request(node, kCrashingBody);
     BOOST_TEST(refusal.head.status == 503);
     BOOST_TEST(!refusal.head.headers.has("Response-Signature"));
     BOOST_TEST(std::stod(std::string(refusal.head.headers.get("Retry-After"))) > 60);
@@ -156,17 +157,17 @@
   BOOST_TEST(crashed() == before);
 }
 
-BOOST_AUTO_TEST_CASE(connections_that_break_before_a_living_replica_quarantine_nothing) {
+BOOST_AUTO_TEST_CASE(connection_resets_by_a_running_replica_do_not_quarantine) {
   for (int round = 0; round < 2 * kReplicas; ++round) {
-    ask(1 + round % 2, kResettingBody);
+    send_request(1 + round % 2, kConnectionResetBody);
   }
   run_for(std::chrono::milliseconds(300));
-  const auto outcome = ask(1, kResettingBody);
+  const auto outcome = send_request(1, kConnectionResetBody);
   BOOST_TEST(outcome.head.status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_fleet_whose_nodes_all_restart_still_knows_what_crashes_replicas) {
-  ask_crashing(kReplicas - 1);
+BOOST_AUTO_TEST_CASE(quarantine_survives_a_restart_of_all_nodes) {
+  send_crashing_requests(kReplicas - 1);
   const int before = crashed();
   run_for(std::chrono::milliseconds(500));
   first.reset();
@@ -176,25 +177,25 @@
   second = std::make_unique<GatewayNode>(loop, 2);
   wait_until_ready();
   run_for(std::chrono::milliseconds(500));
-  BOOST_TEST(ask(1, kCrashingBody).head.status == 503);
-  BOOST_TEST(ask(2, kCrashingBody).head.status == 503);
+  BOOST_TEST(send_request(1, kCrashingBody).head.status == 503);
+  BOOST_TEST(send_request(2, kCrashingBody).head.status == 503);
   BOOST_TEST(crashed() == before);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_restarts_while_the_log_is_away_learns_it_from_the_others) {
-  ask_crashing(kReplicas - 1);
+BOOST_AUTO_TEST_CASE(a_node_restarted_without_the_log_gets_quarantines_from_peers) {
+  send_crashing_requests(kReplicas - 1);
   const int before = crashed();
   store.log.faults.down = true;
   first.reset();
   first = std::make_unique<GatewayNode>(loop, 1);
-  wait_for([&] { return ask(1, "hello").head.status == 200; });
+  wait_for([&] { return send_request(1, "hello").head.status == 200; });
   run_for(std::chrono::seconds(3));
-  BOOST_TEST(ask(1, kCrashingBody).head.status == 503);
+  BOOST_TEST(send_request(1, kCrashingBody).head.status == 503);
   BOOST_TEST(crashed() == before);
 }
 
-BOOST_AUTO_TEST_CASE(an_operator_sees_a_quarantined_request_and_clears_it_at_all_nodes) {
-  ask_crashing(kCrashesNeeded + kCrashesMeanwhile);
+BOOST_AUTO_TEST_CASE(an_operator_lists_and_clears_a_quarantined_request_on_all_nodes) {
+  send_crashing_requests(kQuarantineCrashes + kConcurrentCrashes);
   run_for(std::chrono::milliseconds(300));
   const int before = crashed();
   const auto page = nlohmann::json::parse(call(2, 3, "GET", "/quarantine", {}).body);
@@ -206,24 +207,24 @@
   BOOST_TEST(call(2, 3, "DELETE", "/quarantine/" + content, {}).head.status == 200);
   drop_records_of_crashed();
   run_for(std::chrono::seconds(1));
-  ask(1, kCrashingBody);
+  send_request(1, kCrashingBody);
   BOOST_TEST(crashed() == before + 1);
 }
 
-BOOST_AUTO_TEST_CASE(an_item_that_crashes_replicas_waits_and_the_others_of_its_job_are_done) {
+BOOST_AUTO_TEST_CASE(a_crashing_item_is_held_back_and_other_items_complete) {
   const std::string job =
       R"({"requests":[{"id":"i1","path":"/batch/1","headers":{},"body":"Y3Jhc2g="},)"
       R"({"id":"i2","path":"/batch/2","headers":{},"body":"aGk="}]})";
   BOOST_TEST(call(1, 0, "POST", "/batch/x", job).head.status == 202);
   const std::string id = "request-" + std::to_string(requests);
-  const auto listed = [&] {
+  const auto count_listed_results = [&] {
     const auto outcome = call(1, 0, "GET", "/v1/lots/" + id + "?sinceRevision=0", {});
     return outcome.head.status == 200 ? nlohmann::json::parse(outcome.body)["results"].size() : 0U;
   };
-  wait_for([&] { return listed() == 1 && crashed() >= kCrashesNeeded; });
+  wait_for([&] { return count_listed_results() == 1 && crashed() >= kQuarantineCrashes; });
   run_for(std::chrono::seconds(5));
-  BOOST_TEST(crashed() <= kCrashesNeeded + kCrashesMeanwhile);
-  BOOST_TEST(listed() == 1U);
+  BOOST_TEST(crashed() <= kQuarantineCrashes + kConcurrentCrashes);
+  BOOST_TEST(count_listed_results() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/fleet_test.cpp
+++ b/tests/platform/fleet_test.cpp
@@ -42,7 +42,7 @@
 
 BOOST_AUTO_TEST_SUITE(platform_fleet)
 
-BOOST_AUTO_TEST_CASE(a_record_names_a_replica_and_its_life) {
+BOOST_AUTO_TEST_CASE(a_record_identifies_a_replica_and_its_incarnation) {
   json entry = replica_record();
   const auto record = read(entry.dump());
   BOOST_TEST_REQUIRE(record.has_value());
@@ -58,7 +58,7 @@
   BOOST_TEST(read(entry.dump())->draining);
 }
 
-BOOST_AUTO_TEST_CASE(a_record_that_lacks_a_member_names_no_replica) {
+BOOST_AUTO_TEST_CASE(a_record_without_a_required_member_is_rejected) {
   for (const char* key :
        {"service", "address", "zone", "version", "slots", "state", "sequence", "coldRemainingMs"}) {
     json entry = replica_record();
@@ -67,7 +67,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_record_with_a_member_of_another_type_or_range_names_no_replica) {
+BOOST_AUTO_TEST_CASE(a_record_with_an_invalid_type_or_range_is_rejected) {
   const std::vector<std::pair<const char*, json>> wrong{
       {"service", 7},          {"service", ""},
       {"address", "lm:80"},    {"address", "10.0.0.1"},
@@ -90,7 +90,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(damaged_records_and_configurations_end_nothing) {
+BOOST_AUTO_TEST_CASE(damaged_records_and_configurations_do_not_crash_the_reader) {
   const std::string record = replica_record().dump();
   const std::string document = configuration_document().dump();
   std::mt19937_64 random(7);
@@ -110,7 +110,7 @@
   read(std::string(kDeep, '[') + std::string(kDeep, ']'));
 }
 
-BOOST_AUTO_TEST_CASE(tenants_have_keys_priority_and_limit) {
+BOOST_AUTO_TEST_CASE(tenants_are_read_with_keys_priority_and_rate_limit) {
   const auto read_back = configuration(configuration_document());
   BOOST_TEST_REQUIRE(read_back.has_value());
   const Tenant* clinic = read_back->tenants.find_by_key("key-two");
@@ -127,7 +127,7 @@
   BOOST_TEST(!configuration(without)->tenants.enabled());
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_with_a_tenant_that_cannot_be_read_is_refused_whole) {
+BOOST_AUTO_TEST_CASE(a_configuration_with_an_invalid_tenant_is_rejected) {
   const std::vector<std::pair<const char*, json>> wrong{{"name", 7},
                                                         {"apiKeys", "key-one"},
                                                         {"apiKeys", json::array({7})},
--- a/tests/platform/stand_ins.hpp
+++ b/tests/platform/stand_ins.hpp
@@ -63,19 +63,19 @@
 }
 
 /// A proxy with its surroundings and a front server.
-class ProxyWorld {
+class ProxyFixture {
  public:
-  explicit ProxyWorld(std::uint16_t port)
+  explicit ProxyFixture(std::uint16_t port)
       : selector_(knobs_, directory, "zone-a", 1),
         context_{loop,      knobs_,    protocol_, client,
                  directory, selector_, metrics_,  std::make_shared<RoutingConfiguration>(),
                  "node"},
         proxy_(context_, 0),
         port_(port),
-        front_(loop, [this](const net::ExchangePtr& exchange) {
+        frontend_(loop, [this](const net::ExchangePtr& exchange) {
           proxy_.handle(exchange, configuration_, configuration_->routes.front(), tenant);
         }) {
-    front_.listen("127.0.0.1:" + std::to_string(port));
+    frontend_.listen("127.0.0.1:" + std::to_string(port));
   }
 
   Knobs& knobs() { return knobs_; }
@@ -90,7 +90,7 @@
   }
 
   /// Sends a request and runs the loop until it is answered.
-  net::SimpleCall::Outcome ask(net::Headers headers = {}) {
+  net::SimpleCall::Outcome send_request(net::Headers headers = {}) {
     headers.add("Host", "a.example");
     headers.add("Attempt-Id", "request-1");
     headers.add("Content-Length", "2");
@@ -136,7 +136,7 @@
   std::shared_ptr<RoutingConfiguration> configuration_ = std::make_shared<RoutingConfiguration>();
   OnlineProxy proxy_;
   const std::uint16_t port_;
-  net::HttpServer front_;
+  net::HttpServer frontend_;
 };
 
 }  // namespace dockpoint::test
--- a/tests/platform/store_log_test.cpp
+++ b/tests/platform/store_log_test.cpp
@@ -15,33 +15,33 @@
 
 BOOST_AUTO_TEST_SUITE(store_log)
 
-BOOST_AUTO_TEST_CASE(a_call_under_way_is_not_answered_once_its_log_is_gone) {
+BOOST_AUTO_TEST_CASE(a_pending_call_is_not_completed_after_its_log_is_destroyed) {
   boost::asio::io_context loop(1);
   // Connections are taken and never answered.
   const boost::asio::ip::tcp::endpoint endpoint(boost::asio::ip::address_v4::loopback(),
                                                 kSilentPort);
   const boost::asio::ip::tcp::acceptor silent(loop, endpoint);
   net::HttpClient client(loop);
-  int answers_of_gone = 0;
-  int answers_of_kept = 0;
-  const auto ask = [](platform::StoreLog& log, int& answers) {
+  int destroyed_log_answers = 0;
+  int remaining_log_answers = 0;
+  const auto request_owners = [](platform::StoreLog& log, int& answers) {
     log.owners("group", [&](const OwnersOutcome&) { ++answers; });
   };
-  platform::StoreLog kept(loop, client, {"127.0.0.1", kSilentPort}, LogLimits{});
-  auto gone = std::make_unique<platform::StoreLog>(loop, client, Address{"127.0.0.1", kSilentPort},
-                                                   LogLimits{});
-  ask(*gone, answers_of_gone);
-  gone.reset();
-  ask(kept, answers_of_kept);  // Its time limit comes after the other's.
-  while (answers_of_kept == 0) {
+  platform::StoreLog remaining_log(loop, client, {"127.0.0.1", kSilentPort}, LogLimits{});
+  auto destroyed_log = std::make_unique<platform::StoreLog>(
+      loop, client, Address{"127.0.0.1", kSilentPort}, LogLimits{});
+  request_owners(*destroyed_log, destroyed_log_answers);
+  destroyed_log.reset();
+  request_owners(remaining_log, remaining_log_answers);  // Its time limit comes after the other's.
+  while (remaining_log_answers == 0) {
     loop.run_one_for(std::chrono::milliseconds(50));
   }
-  BOOST_TEST(answers_of_kept == 1);
-  BOOST_TEST(answers_of_gone == 0);
+  BOOST_TEST(remaining_log_answers == 1);
+  BOOST_TEST(destroyed_log_answers == 0);
 }
 
 // A field of another type than expected ended the process by an exception that nobody caught.
-BOOST_AUTO_TEST_CASE(an_answer_that_cannot_be_read_is_unknown_and_changes_nothing) {
+BOOST_AUTO_TEST_CASE(an_unparsable_answer_yields_unknown_status) {
   constexpr std::uint16_t kPort = 28'403;
   boost::asio::io_context loop(1);
   std::string body;
--- a/tests/platform/system_test.cpp
+++ b/tests/platform/system_test.cpp
@@ -34,8 +34,8 @@
   Fixture() {
     store.put(platform::kConfigurationTopic, platform::kConfigurationKey, route_configuration(3));
     store.put(platform::kReplicasTopic, "r1", replica_record("127.0.0.1:28202").dump());
-    wait_for([&] { return ask(1, 1, "GET", "/").head.status == 200; });
-    wait_for([&] { return ask(2, 1, "GET", "/").head.status == 200; });
+    wait_for([&] { return send_request(1, 1, "GET", "/").head.status == 200; });
+    wait_for([&] { return send_request(2, 1, "GET", "/").head.status == 200; });
   }
 
   void run(const net::ExchangePtr& exchange) {
@@ -55,17 +55,17 @@
 
   void wait_for(const std::function<bool()>& done) {
     while (!done()) {
-      turn();
+      poll_once();
     }
   }
-  void turn() {
+  void poll_once() {
     loop.run_one_for(std::chrono::milliseconds(5));
     store.tick();
   }
 
-  net::SimpleCall::Outcome ask(int node, int port, const std::string& method,
-                               const std::string& target, net::Headers headers = {},
-                               const std::string& body = {}) {
+  net::SimpleCall::Outcome send_request(int node, int port, const std::string& method,
+                                        const std::string& target, net::Headers headers = {},
+                                        const std::string& body = {}) {
     headers.add("Host", "a.example");
     headers.add("Content-Length", std::to_string(body.size()));
     std::optional<net::SimpleCall::Outcome> result;
@@ -82,10 +82,10 @@
     const std::string body =
         R"({"requests":[{"id":"i1","path":"/batch/1","headers":{"Model":"m"},"body":"aGk="},)"
         R"({"id":"i2","path":"/batch/2","headers":{},"body":""}]})";
-    return ask(node, 0, "POST", "/batch/x", {{"Attempt-Id", id}}, body).head.status;
+    return send_request(node, 0, "POST", "/batch/x", {{"Attempt-Id", id}}, body).head.status;
   }
   nlohmann::json read(int node, const std::string& id) {
-    const auto outcome = ask(node, 0, "GET", "/v1/lots/" + id + "?sinceRevision=0");
+    const auto outcome = send_request(node, 0, "GET", "/v1/lots/" + id + "?sinceRevision=0");
     return outcome.head.status == 200 ? nlohmann::json::parse(outcome.body) : nlohmann::json();
   }
   /// Reads until both items of the job are listed.
@@ -104,25 +104,27 @@
 BOOST_FIXTURE_TEST_SUITE(platform_system, Fixture)
 
 BOOST_AUTO_TEST_CASE(requests_are_served_and_unknown_routes_are_not) {
-  const auto answer = ask(1, 0, "POST", "/quick/1", {{"Attempt-Id", "q1"}});
+  const auto answer = send_request(1, 0, "POST", "/quick/1", {{"Attempt-Id", "q1"}});
   BOOST_TEST(answer.head.status == 200);
   BOOST_TEST(answer.body == "done");
-  BOOST_TEST(ask(1, 0, "POST", "/elsewhere/1", {{"Attempt-Id", "q2"}}).head.status == 404);
-  BOOST_TEST(ask(2, 0, "POST", "/quick/1").head.status == 400);
+  BOOST_TEST(send_request(1, 0, "POST", "/elsewhere/1", {{"Attempt-Id", "q2"}}).head.status == 404);
+  BOOST_TEST(send_request(2, 0, "POST", "/quick/1").head.status == 400);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_configuration_is_in_force_and_an_older_one_is_not) {
+BOOST_AUTO_TEST_CASE(a_newer_configuration_is_applied_and_an_older_one_is_ignored) {
   std::string other = route_configuration(5);
   other.replace(other.find("/quick/"), 7, "/other/");
   store.put(platform::kConfigurationTopic, platform::kConfigurationKey, other);
-  wait_for([&] { return ask(1, 0, "POST", "/other/1", {{"Attempt-Id", "q"}}).head.status == 200; });
+  wait_for([&] {
+    return send_request(1, 0, "POST", "/other/1", {{"Attempt-Id", "q"}}).head.status == 200;
+  });
   store.put(platform::kConfigurationTopic, platform::kConfigurationKey, route_configuration(4));
   for (int round = 0; round < 30; ++round) {
-    BOOST_TEST(ask(1, 0, "POST", "/other/1", {{"Attempt-Id", "q"}}).head.status == 200);
+    BOOST_TEST(send_request(1, 0, "POST", "/other/1", {{"Attempt-Id", "q"}}).head.status == 200);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_job_is_run_and_read_alike_at_every_node) {
+BOOST_AUTO_TEST_CASE(every_node_returns_the_same_job_results) {
   BOOST_TEST(submit(1, "0a") == 202);
   BOOST_TEST(submit(2, "0a") == 202);
   const nlohmann::json page = read_whole(2, "0a");
@@ -133,15 +135,15 @@
     BOOST_TEST(result["text"] == (result["id"] == "i1" ? "a\nhi" : "a\n"));
   }
   BOOST_TEST((read_whole(1, "0a") == page));
-  const auto body = ask(1, 0, "GET", "/v1/items/0a?id=i1");
+  const auto body = send_request(1, 0, "GET", "/v1/items/0a?id=i1");
   BOOST_TEST(body.head.status == 200);
   BOOST_TEST(body.body == "hi");
-  BOOST_TEST(ask(2, 0, "DELETE", "/v1/lots/0a").head.status == 200);
-  BOOST_TEST(ask(1, 0, "DELETE", "/v1/lots/0a").head.status == 200);
+  BOOST_TEST(send_request(2, 0, "DELETE", "/v1/lots/0a").head.status == 200);
+  BOOST_TEST(send_request(1, 0, "DELETE", "/v1/lots/0a").head.status == 200);
   BOOST_TEST((read_whole(1, "0a") == page));
 }
 
-BOOST_AUTO_TEST_CASE(an_item_that_can_never_be_done_is_listed_as_given_up) {
+BOOST_AUTO_TEST_CASE(an_item_with_a_permanent_failure_is_dead_lettered) {
   failure_status = 422;
   BOOST_TEST(submit(1, "0b") == 202);
   const nlohmann::json page = read_whole(1, "0b");
@@ -151,7 +153,7 @@
   BOOST_TEST(replica.requests() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(an_item_is_given_up_after_as_many_failures_as_its_route_allows) {
+BOOST_AUTO_TEST_CASE(an_item_is_dead_lettered_after_the_attempts_of_its_route) {
   failure_status = 500;
   BOOST_TEST(submit(1, "0f") == 202);
   const nlohmann::json page = read_whole(1, "0f");
@@ -161,7 +163,7 @@
   BOOST_TEST(replica.requests() == 6);
 }
 
-BOOST_AUTO_TEST_CASE(answers_that_say_nothing_of_an_item_do_not_count_as_its_failures) {
+BOOST_AUTO_TEST_CASE(gateway_timeouts_do_not_count_as_item_failures) {
   failure_status = 504;
   failures_left = 8;  // More than both items together may fail.
   BOOST_TEST(submit(1, "10") == 202);
@@ -171,7 +173,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(jobs_and_results_outlive_all_nodes) {
+BOOST_AUTO_TEST_CASE(jobs_and_results_survive_a_restart_of_all_nodes) {
   BOOST_TEST(submit(1, "0c") == 202);
   const nlohmann::json before = read_whole(1, "0c");
   BOOST_TEST(submit(2, "0d") == 202);
@@ -185,33 +187,33 @@
   BOOST_TEST(read_whole(1, "0d")["results"].size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(without_the_log_no_job_is_promised_and_online_requests_are_served) {
+BOOST_AUTO_TEST_CASE(without_the_log_jobs_are_refused_and_online_requests_are_served) {
   store.log.faults.down = true;
   const int refused = submit(1, "0e");
   BOOST_TEST(refused == 503);
-  BOOST_TEST(ask(1, 0, "POST", "/quick/1", {{"Attempt-Id", "q"}}).head.status == 200);
+  BOOST_TEST(send_request(1, 0, "POST", "/quick/1", {{"Attempt-Id", "q"}}).head.status == 200);
   store.log.faults = {};
   wait_for([&] { return submit(2, "0e") == 202; });
   BOOST_TEST(read_whole(1, "0e")["total"] == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_the_log_turns_away_passes_jobs_on) {
+BOOST_AUTO_TEST_CASE(a_node_refused_by_the_log_forwards_jobs) {
   net::HttpServer refusing(loop, [](const auto& exchange) { exchange->respond(503, {}, {}); });
   refusing.listen("127.0.0.1:" + std::to_string(kRefusingStorePort));
   Node third(loop, 3, kRefusingStorePort);
-  wait_for([&] { return ask(3, 1, "GET", "/").head.status == 200; });
+  wait_for([&] { return send_request(3, 1, "GET", "/").head.status == 200; });
   wait_for([&] { return submit(3, "0f") == 202; });
   BOOST_TEST(read_whole(1, "0f")["total"] == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_job_over_its_routes_limit_is_refused_and_takes_no_effect) {
+BOOST_AUTO_TEST_CASE(a_job_over_the_route_token_limit_is_refused_without_effect) {
   std::string limited = route_configuration(4);
   limited.insert(limited.find("\"retentionS\""), "\"maxQueuedTokens\":100,");
   store.put(platform::kConfigurationTopic, platform::kConfigurationKey, limited);
   const auto send = [&](const std::string& id, int tokens) {
     const std::string body = R"({"requests":[{"id":"i1","path":"/batch/1","tokenCount":)" +
                              std::to_string(tokens) + "}]}";
-    return ask(1, 0, "POST", "/batch/x", {{"Attempt-Id", id}}, body);
+    return send_request(1, 0, "POST", "/batch/x", {{"Attempt-Id", id}}, body);
   };
   failure_status = 503;  // Nothing is done, so that what is accepted waits.
   wait_for([&] { return send("a1", 101).head.status == 429; });
@@ -227,7 +229,7 @@
   wait_for([&] { return send("a4", 60).head.status == 202; });
 }
 
-BOOST_AUTO_TEST_CASE(malformed_jobs_get_a_clear_error_and_take_no_effect) {
+BOOST_AUTO_TEST_CASE(malformed_jobs_are_rejected_without_effect) {
   const std::string item = R"({"id":"i","path":"/batch/1"})";
   std::string many = R"({"requests":[)";
   for (int index = 0; index <= 200; ++index) {
@@ -241,16 +243,16 @@
         std::string(R"({"requests":[{"id":"i","path":"/b","body":5}]})"),
         std::string(R"({"requests":[{"id":"i","path":"/b","headers":{"A":"b\r\nC: d"}}]})"),
         std::string(R"({"requests":[{"id":7,"path":"/b"}]})")}) {
-    const auto answer = ask(1, 0, "POST", "/batch/x", {{"Attempt-Id", "bad"}}, body);
+    const auto answer = send_request(1, 0, "POST", "/batch/x", {{"Attempt-Id", "bad"}}, body);
     BOOST_TEST(answer.head.status == 400, body.substr(0, 60));
     BOOST_TEST(answer.body.find("malformed_body") != std::string::npos, answer.body);
   }
   BOOST_TEST(submit(1, "bad") == 202);
 }
 
-BOOST_AUTO_TEST_CASE(log_lines_that_were_dropped_are_counted_among_the_metrics) {
+BOOST_AUTO_TEST_CASE(dropped_log_lines_are_counted_in_the_metrics) {
   const auto dropped = [&] {
-    const std::string page = ask(1, 5, "GET", "/metrics").body;
+    const std::string page = send_request(1, 5, "GET", "/metrics").body;
     const std::string name = "\ndockpoint_gateway_log_lines_dropped ";
     const std::size_t at = page.find(name);
     return at == std::string::npos ? -1 : std::stoi(page.substr(at + name.size()));
@@ -262,13 +264,15 @@
   wait_for([&] { return dropped() > 0; });
 }
 
-BOOST_AUTO_TEST_CASE(a_stopping_node_leaves_the_resolvers_answers_and_still_serves) {
+BOOST_AUTO_TEST_CASE(a_stopping_node_leaves_resolver_answers_and_still_serves) {
   const std::string resolve = "/v1/resolve?name=a.example&region=r&zone=zone-a";
-  BOOST_TEST(ask(1, 2, "GET", resolve).body.find(Node::address(1, 0)) != std::string::npos);
+  BOOST_TEST(send_request(1, 2, "GET", resolve).body.find(Node::address(1, 0)) !=
+             std::string::npos);
   first->gateway.stop();
-  BOOST_TEST(ask(1, 1, "GET", "/").head.status == 503);
-  BOOST_TEST(ask(1, 2, "GET", resolve).body.find(Node::address(1, 0)) == std::string::npos);
-  const auto served = ask(1, 0, "POST", "/quick/1", {{"Attempt-Id", "q"}});
+  BOOST_TEST(send_request(1, 1, "GET", "/").head.status == 503);
+  BOOST_TEST(send_request(1, 2, "GET", resolve).body.find(Node::address(1, 0)) ==
+             std::string::npos);
+  const auto served = send_request(1, 0, "POST", "/quick/1", {{"Attempt-Id", "q"}});
   BOOST_TEST(served.head.status == 200);
   BOOST_TEST(served.head.headers.get("Connection") == "close");
   wait_for([&] { return loop.stopped(); });
--- a/tests/platform/traffic_test.cpp
+++ b/tests/platform/traffic_test.cpp
@@ -16,7 +16,7 @@
 
 BOOST_AUTO_TEST_SUITE(platform_traffic)
 
-BOOST_AUTO_TEST_CASE(keys_are_counted_whatever_the_spelling_of_their_header) {
+BOOST_AUTO_TEST_CASE(api_key_headers_are_counted_case_insensitively) {
   const net::RequestHead head = head_with({{"api-key", "one"}, {"API-KEY", "two"}});
   const Credential credential = kTraffic.read_credential(head);
   BOOST_TEST(credential.count == 2U);
@@ -24,7 +24,7 @@
   BOOST_TEST(kTraffic.read_credential(head_with({})).count == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(the_tenant_takes_the_place_of_the_key_and_of_whatever_the_caller_said) {
+BOOST_AUTO_TEST_CASE(the_tenant_header_replaces_the_api_key_and_any_caller_value) {
   net::RequestHead head = head_with({{"Api-Key", "secret"},
                                      {"tenant", "other"},
                                      {"TENANT", "third"},
@@ -40,14 +40,14 @@
   BOOST_TEST(sent.headers.get("Attempt-Id") == "a");
 }
 
-BOOST_AUTO_TEST_CASE(on_a_public_route_no_tenant_is_named) {
+BOOST_AUTO_TEST_CASE(a_public_route_sets_no_tenant_header) {
   net::RequestHead head = head_with({{"Api-Key", "secret"}, {"Tenant", "other"}});
   kTraffic.name_tenant(head, {});
   BOOST_TEST(!head.headers.has("Tenant"));
   BOOST_TEST(!head.headers.has("Api-Key"));
 }
 
-BOOST_AUTO_TEST_CASE(items_run_under_the_tenant_of_their_job_whatever_their_headers_say) {
+BOOST_AUTO_TEST_CASE(items_use_the_tenant_of_their_job) {
   BatchJob job;
   job.tenant = "clinic";
   job.host = "a.example";
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(the_load_of_a_replica_is_read_with_its_pace_or_without) {
+BOOST_AUTO_TEST_CASE(a_replica_load_is_read_with_or_without_pace) {
   const auto three = load_in("3,1,8");
   BOOST_TEST_REQUIRE(three.has_value());
   BOOST_TEST(three->running == 3);
@@ -97,7 +97,7 @@
   BOOST_TEST(!load_in("3,1,8,100,7").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_pace_that_cannot_be_is_left_out_and_the_other_figures_count) {
+BOOST_AUTO_TEST_CASE(an_invalid_pace_is_ignored_and_the_other_load_fields_are_kept) {
   for (const char* header :
        {"6,2,6,0", "6,2,6,-100", "6,2,6,99999999", "6,2,6,99999999999999999999", "6,2,6,fast",
         "6,2,6,1e2", "6,2,6, 100"}) {
