--- a/tests/platform/crashing_requests_test.cpp
+++ b/tests/platform/crashing_requests_test.cpp
@@ -1,4 +1,5 @@
-/// Requests that crash the replicas that run them, and come back at any node under another id.
+/// Tests the quarantine of requests that crash their replica. Callers retry such a request on any
+/// node under a new id, so it is recognized by content.
 
 #include <boost/test/unit_test.hpp>
 #include <list>
@@ -20,13 +21,14 @@
 constexpr int kReplicas = 12;
 constexpr const char* kCrashingBody = "crash";
 constexpr const char* kConnectionResetBody =
-    "reset";  ///< Breaks the connection; the replica lives on.
+    "reset";  ///< Resets the connection; the replica keeps running.
 
-/// Crashes after which a request has to be known, and further ones that may be under way meanwhile.
+/// Crashes after which a request must be quarantined.
 constexpr int kQuarantineCrashes = 3;
+/// Further crashes allowed by attempts that are already in flight.
 constexpr int kConcurrentCrashes = 3;
 
-/// Two nodes before replicas that end when they are asked with `kCrashingBody`.
+/// Two nodes and replicas that crash on a request with the body `kCrashingBody`.
 struct Fixture {
   boost::asio::io_context loop{1};
   StandInStore store{loop, GatewayNode::kStorePort, GatewayNode::kPartitions};
@@ -73,7 +75,7 @@
                                           [](const auto& replica) { return !replica.running(); }));
   }
 
-  /// The records of replicas that have crashed lapse.
+  /// Deletes the records of crashed replicas from the store.
   void drop_records_of_crashed() {
     int index = 0;
     for (const StandInReplica& replica : replicas) {
@@ -106,7 +108,7 @@
     }
   }
 
-  /// Sends a stream's request with an id of its own, and waits for its end.
+  /// Sends a streaming request with a unique id and waits until it completes.
   net::SimpleCall::Outcome send_request(int node, const std::string& body) {
     return call(node, 0, "POST", "/chat/1", body);
   }
@@ -125,7 +127,7 @@
     return std::move(*result);
   }
 
-  /// Sends the crashing request at both nodes by turns.
+  /// Sends the crashing request `times` times, alternating between the nodes.
   void send_crashing_requests(int times) {
     for (int round = 0; round < times; ++round) {
       send_request(1 + round % 2, kCrashingBody);
--- a/tests/platform/gateway_node.hpp
+++ b/tests/platform/gateway_node.hpp
@@ -8,7 +8,7 @@
 #include "platform/traffic.hpp"
 #include "platform/wire_names.hpp"
 
-/// Whole gateways in a test's process, on loopback and one event loop.
+/// Complete gateways within the test process, on loopback addresses and one event loop.
 namespace dockpoint::test {
 
 inline constexpr const char* kRouteConfiguration = R"({"version":%V,"routeList":[
@@ -22,13 +22,13 @@
   "kvCacheTokens":1000}}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":65536,
   "headerTimeoutMs":3000,"idleTimeoutMs":15000}})";
 
-/// @return a configuration with a route of each kind, of the service `lm`.
+/// @return a configuration with an idempotent, a batch and a streaming route to service `lm`.
 inline std::string route_configuration(int version) {
   std::string text = kRouteConfiguration;
   return text.replace(text.find("%V"), 2, std::to_string(version));
 }
 
-/// One gateway with everything that it borrows.
+/// A gateway together with the objects that it borrows.
 struct GatewayNode {
   static constexpr std::uint16_t kStorePort = 28'201;
   static constexpr int kPartitions = 3;
@@ -43,7 +43,7 @@
   }
 
   static std::string address(int number, int port) {
-    // All nodes use the same ports, as machines do.
+    // Nodes differ by IP address and use the same ports, as on separate machines.
     return "127.0.0." + std::to_string(number) + ":" + std::to_string(28'300 + port);
   }
   static GatewaySettings settings(int number) {
--- a/tests/platform/online_proxy_test.cpp
+++ b/tests/platform/online_proxy_test.cpp
@@ -26,7 +26,8 @@
   exchange->respond(503, headers, {});
 }
 
-/// Sends events `first` to `last`, and breaks off or ends.
+/// Streams events `first` to `last`, then ends the answer, or aborts within the next event if not
+/// `complete`.
 void stream(const net::ExchangePtr& exchange, int first, int last, bool complete) {
   net::Headers headers = genuine_headers(exchange);
   headers.add("Content-Type", "text/event-stream");
@@ -42,7 +43,7 @@
   }
 }
 
-/// A tenant that may send one request, and hardly another; all requests of a world are its own.
+/// A tenant with a burst of 1 and 0.5 requests/s; all requests of the fixture belong to it.
 class LimitedTenant {
  public:
   explicit LimitedTenant(ProxyFixture& fixture) : limiter_(fixture.knobs(), {}, 1) {
@@ -53,7 +54,7 @@
   }
 
  private:
-  /// Lets the limiter run for so long that its buckets are full.
+  /// Ticks the limiter through 20 simulated seconds, which fills its token buckets.
   void fill_buckets() {
     constexpr Duration kRound = std::chrono::milliseconds(100);
     const TimePoint now = net::steady_now();
@@ -353,7 +354,7 @@
   ProxyFixture fixture(kFrontendPort);
   fixture.route().kind = RouteKind::kNonIdempotent;
   const LimitedTenant limited(fixture);
-  BOOST_TEST(fixture.send_request().head.status == 503);  // No replica.
+  BOOST_TEST(fixture.send_request().head.status == 503);  // No replica is available.
   StandInReplica replica(fixture.loop, "r1", kFirstPort,
                          [](const auto& exchange) { answer(exchange, "whole"); });
   fixture.directory.upsert(replica.record("lm"), {});
--- a/tests/platform/replica_records.hpp
+++ b/tests/platform/replica_records.hpp
@@ -7,8 +7,8 @@
 
 namespace dockpoint::test {
 
-/// @return a replica's record with all that replicas write.
-/// @param started_ms start of its life, as Unix milliseconds, if it tells it.
+/// @return a replica record with all required members.
+/// @param started_ms start of the replica's process in Unix milliseconds; omitted if empty.
 inline nlohmann::json replica_record(const std::string& address = "10.0.0.1:80", int slots = 4,
                                      const std::string& state = "ready",
                                      std::optional<std::int64_t> started_ms = std::nullopt) {
--- a/tests/platform/stand_in_store.hpp
+++ b/tests/platform/stand_in_store.hpp
@@ -11,7 +11,7 @@
 #include "net/clock.hpp"
 #include "net/http_server.hpp"
 
-/// The platform's store for tests: the words of its published protocol over the stand-in log.
+/// Test server that implements the platform store's published protocol on top of `MemoryLog`.
 namespace dockpoint::test {
 
 class StandInStore {
@@ -22,10 +22,10 @@
     server_.listen("127.0.0.1:" + std::to_string(port));
   }
 
-  /// Lets answers that are due go out.
+  /// Sends the answers that are due.
   void tick() { log.advance(net::steady_now()); }
 
-  /// Writes a record as the operator or a replica would.
+  /// Appends a record to partition 0 of `topic`, as the operator or a replica does.
   void put(const std::string& topic, const std::string& key, const std::string& value) {
     log.append({topic, 0}, {{key, value, 0}}, std::nullopt, [](const AppendOutcome&) {});
   }
@@ -35,7 +35,7 @@
  private:
   using Json = nlohmann::json;
 
-  /// A silent read is dropped after this time; its caller has given it up long before.
+  /// A read without an answer is dropped after this time, when its caller has long timed out.
   static constexpr Duration kAnswerLimit = std::chrono::seconds(1);
 
   static std::string number_bytes(std::uint64_t number, int bytes) {
@@ -80,13 +80,14 @@
     exchange->respond(status, {{"Content-Type", "application/json"}}, body.dump());
   }
 
-  /// @return whether a call that was not done is answered here.
+  /// Answers a refused call with 503.
+  /// @return whether the call needs no further answer: it was refused, or its outcome is unknown.
   static bool refused(const net::ExchangePtr& exchange, LogStatus status) {
     if (status == LogStatus::kRefused) {
       reply(exchange, 503, Json::object());
       return true;
     }
-    return status == LogStatus::kUnknown;  // Silence.
+    return status == LogStatus::kUnknown;  // The client gets no answer.
   }
 
   void serve(const net::ExchangePtr& exchange) {
--- a/tests/platform/stand_ins.hpp
+++ b/tests/platform/stand_ins.hpp
@@ -13,10 +13,10 @@
 #include "net/http_server.hpp"
 #include "platform/traffic.hpp"
 
-/// Replicas and callers for tests of the gateway, on loopback and one event loop.
+/// Stand-ins for replicas and callers in gateway tests, on loopback and one event loop.
 namespace dockpoint::test {
 
-/// A replica whose answers a test scripts.
+/// An HTTP server in place of a replica; the test's handler answers the requests.
 class StandInReplica {
  public:
   using Handler = std::function<void(const net::ExchangePtr&)>;
@@ -34,7 +34,7 @@
     server_->listen("127.0.0.1:" + std::to_string(port_));
   }
 
-  /// Ends the process that the replica stands for, in the next turn of the loop.
+  /// Simulates a crash of the replica's process: closes the server in the next loop iteration.
   void crash() {
     boost::asio::post(loop_, [this] { server_.reset(); });
   }
@@ -56,13 +56,13 @@
   std::optional<net::HttpServer> server_;
 };
 
-/// @return the headers of a genuine answer to `exchange`.
+/// @return headers that identify an answer to `exchange` as sent by a replica.
 inline net::Headers genuine_headers(const net::ExchangePtr& exchange) {
   return {{"Attempt-Id", std::string(exchange->request().headers.get("Attempt-Id"))},
           {"Response-Signature", "signed"}};
 }
 
-/// A proxy with its surroundings and a front server.
+/// An online proxy with its dependencies, behind an HTTP server.
 class ProxyFixture {
  public:
   explicit ProxyFixture(std::uint16_t port)
@@ -89,7 +89,7 @@
     return route;
   }
 
-  /// Sends a request and runs the loop until it is answered.
+  /// Sends a request and runs the loop until the call completes.
   net::SimpleCall::Outcome send_request(net::Headers headers = {}) {
     headers.add("Host", "a.example");
     headers.add("Attempt-Id", "request-1");
@@ -103,7 +103,7 @@
     return std::move(*result);
   }
 
-  /// Runs the loop, with its rounds of time limits, until `done`.
+  /// Runs the loop and the timeout checks of proxy and client until `done` returns true.
   void run_until(const std::function<bool()>& done) {
     while (!done()) {
       loop.run_one_for(std::chrono::milliseconds(10));
@@ -123,9 +123,9 @@
   boost::asio::io_context loop{1};
   net::HttpClient client{loop};
   ReplicaDirectory directory{knobs_};
-  const Tenant* tenant = nullptr;  ///< That all requests belong to.
+  const Tenant* tenant = nullptr;  ///< Tenant of all requests, or null.
 
-  /// Enforces the tenant's rate limit from now on.
+  /// Enables rate limiting of tenants with `limiter` (borrowed).
   void limit_rate(TenantRateLimiter& limiter) { context_.rate_limiter = &limiter; }
 
  private:
--- a/tests/platform/store_log_test.cpp
+++ b/tests/platform/store_log_test.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_CASE(a_pending_call_is_not_completed_after_its_log_is_destroyed) {
   boost::asio::io_context loop(1);
-  // Connections are taken and never answered.
+  // Connections are accepted by the kernel but never answered.
   const boost::asio::ip::tcp::endpoint endpoint(boost::asio::ip::address_v4::loopback(),
                                                 kSilentPort);
   const boost::asio::ip::tcp::acceptor silent(loop, endpoint);
@@ -32,7 +32,8 @@
       loop, client, Address{"127.0.0.1", kSilentPort}, LogLimits{});
   request_owners(*destroyed_log, destroyed_log_answers);
   destroyed_log.reset();
-  request_owners(remaining_log, remaining_log_answers);  // Its time limit comes after the other's.
+  request_owners(remaining_log,
+                 remaining_log_answers);  // Times out after the call of the destroyed log.
   while (remaining_log_answers == 0) {
     loop.run_one_for(std::chrono::milliseconds(50));
   }
@@ -40,7 +41,7 @@
   BOOST_TEST(destroyed_log_answers == 0);
 }
 
-// A field of another type than expected ended the process by an exception that nobody caught.
+// Guards against uncaught exceptions: a field of an unexpected type once terminated the process.
 BOOST_AUTO_TEST_CASE(an_unparsable_answer_yields_unknown_status) {
   constexpr std::uint16_t kPort = 28'403;
   boost::asio::io_context loop(1);
--- a/tests/platform/system_test.cpp
+++ b/tests/platform/system_test.cpp
@@ -1,5 +1,5 @@
-/// The whole path on the platform's words, in one process: two gateways, a stand-in of the store,
-/// and a replica that speaks the published protocol.
+/// End-to-end tests of the platform protocol in one process: two gateways, a stand-in for the store
+/// and a stand-in for a replica.
 
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -25,8 +25,8 @@
   boost::asio::io_context loop{1};
   StandInStore store{loop, GatewayNode::kStorePort, GatewayNode::kPartitions};
   net::HttpClient caller{loop};
-  int failure_status = 0;   ///< That the replica answers with,
-  int failures_left = 100;  ///< so many times.
+  int failure_status = 0;   ///< Status of failed answers; 0 for none.
+  int failures_left = 100;  ///< Number of failed answers before success.
   StandInReplica replica{loop, "r1", kReplicaPort, [this](const auto& exchange) { run(exchange); }};
   std::unique_ptr<Node> first = std::make_unique<Node>(loop, 1);
   std::unique_ptr<Node> second = std::make_unique<Node>(loop, 2);
@@ -88,7 +88,7 @@
     const auto outcome = send_request(node, 0, "GET", "/v1/lots/" + id + "?sinceRevision=0");
     return outcome.head.status == 200 ? nlohmann::json::parse(outcome.body) : nlohmann::json();
   }
-  /// Reads until both items of the job are listed.
+  /// Polls the job until the results of both items are listed.
   nlohmann::json read_whole(int node, const std::string& id) {
     nlohmann::json page;
     wait_for([&] {
@@ -165,7 +165,7 @@
 
 BOOST_AUTO_TEST_CASE(gateway_timeouts_do_not_count_as_item_failures) {
   failure_status = 504;
-  failures_left = 8;  // More than both items together may fail.
+  failures_left = 8;  // More than the failures allowed for both items together.
   BOOST_TEST(submit(1, "10") == 202);
   const nlohmann::json page = read_whole(1, "10");
   for (const auto& result : page["results"]) {
@@ -215,7 +215,7 @@
                              std::to_string(tokens) + "}]}";
     return send_request(1, 0, "POST", "/batch/x", {{"Attempt-Id", id}}, body);
   };
-  failure_status = 503;  // Nothing is done, so that what is accepted waits.
+  failure_status = 503;  // Keeps accepted jobs waiting, as no item completes.
   wait_for([&] { return send("a1", 101).head.status == 429; });
   const auto never = send("a2", 101);
   BOOST_TEST(!never.head.headers.has("Retry-After"));
@@ -224,7 +224,7 @@
   const auto full = send("a4", 60);
   BOOST_TEST(full.head.status == 429);
   BOOST_TEST(full.head.headers.has("Retry-After"));
-  BOOST_TEST(send("a3", 60).head.status == 202);  // It is the same job.
+  BOOST_TEST(send("a3", 60).head.status == 202);  // Resubmission of the same job.
   failures_left = 0;
   wait_for([&] { return send("a4", 60).head.status == 202; });
 }
