--- a/tests/platform/stand_ins.hpp
+++ b/tests/platform/stand_ins.hpp
@@ -13,10 +13,10 @@
 #include "net/http_server.hpp"
 #include "platform/traffic.hpp"
 
-/// Replicas and callers for tests of the gateway, on loopback and one event loop.
+/// Stand-ins for replicas and callers in gateway tests, on loopback and one event loop.
 namespace dockpoint::test {
 
-/// A replica whose answers a test scripts.
+/// An HTTP server in place of a replica; the test's handler answers the requests.
 class StandInReplica {
  public:
   using Handler = std::function<void(const net::ExchangePtr&)>;
@@ -34,7 +34,7 @@
     server_->listen("127.0.0.1:" + std::to_string(port_));
   }
 
-  /// Ends the process that the replica stands for, in the next turn of the loop.
+  /// Simulates a crash of the replica's process: closes the server in the next loop iteration.
   void crash() {
     boost::asio::post(loop_, [this] { server_.reset(); });
   }
@@ -56,26 +56,26 @@
   std::optional<net::HttpServer> server_;
 };
 
-/// @return the headers of a genuine answer to `exchange`.
+/// @return headers that identify an answer to `exchange` as sent by a replica.
 inline net::Headers genuine_headers(const net::ExchangePtr& exchange) {
   return {{"Attempt-Id", std::string(exchange->request().headers.get("Attempt-Id"))},
           {"Response-Signature", "signed"}};
 }
 
-/// A proxy with its surroundings and a front server.
-class ProxyWorld {
+/// An online proxy with its dependencies, behind an HTTP server.
+class ProxyFixture {
  public:
-  explicit ProxyWorld(std::uint16_t port)
+  explicit ProxyFixture(std::uint16_t port)
       : selector_(knobs_, directory, "zone-a", 1),
         context_{loop,      knobs_,    protocol_, client,
                  directory, selector_, metrics_,  std::make_shared<RoutingConfiguration>(),
                  "node"},
         proxy_(context_, 0),
         port_(port),
-        front_(loop, [this](const net::ExchangePtr& exchange) {
+        frontend_(loop, [this](const net::ExchangePtr& exchange) {
           proxy_.handle(exchange, configuration_, configuration_->routes.front(), tenant);
         }) {
-    front_.listen("127.0.0.1:" + std::to_string(port));
+    frontend_.listen("127.0.0.1:" + std::to_string(port));
   }
 
   Knobs& knobs() { return knobs_; }
@@ -89,8 +89,8 @@
     return route;
   }
 
-  /// Sends a request and runs the loop until it is answered.
-  net::SimpleCall::Outcome ask(net::Headers headers = {}) {
+  /// Sends a request and runs the loop until the call completes.
+  net::SimpleCall::Outcome send_request(net::Headers headers = {}) {
     headers.add("Host", "a.example");
     headers.add("Attempt-Id", "request-1");
     headers.add("Content-Length", "2");
@@ -103,7 +103,7 @@
     return std::move(*result);
   }
 
-  /// Runs the loop, with its rounds of time limits, until `done`.
+  /// Runs the loop and the timeout checks of proxy and client until `done` returns true.
   void run_until(const std::function<bool()>& done) {
     while (!done()) {
       loop.run_one_for(std::chrono::milliseconds(10));
@@ -123,9 +123,9 @@
   boost::asio::io_context loop{1};
   net::HttpClient client{loop};
   ReplicaDirectory directory{knobs_};
-  const Tenant* tenant = nullptr;  ///< That all requests belong to.
+  const Tenant* tenant = nullptr;  ///< Tenant of all requests, or null.
 
-  /// Enforces the tenant's rate limit from now on.
+  /// Enables rate limiting of tenants with `limiter` (borrowed).
   void limit_rate(TenantRateLimiter& limiter) { context_.rate_limiter = &limiter; }
 
  private:
@@ -136,7 +136,7 @@
   std::shared_ptr<RoutingConfiguration> configuration_ = std::make_shared<RoutingConfiguration>();
   OnlineProxy proxy_;
   const std::uint16_t port_;
-  net::HttpServer front_;
+  net::HttpServer frontend_;
 };
 
 }  // namespace dockpoint::test
