--- a/include/dockpoint/core/knobs.hpp
+++ b/include/dockpoint/core/knobs.hpp
@@ -16,206 +16,344 @@
   Mechanisms mechanisms;
 
   // Membership.
-  Duration probe_interval = 1s;          ///< One member is probed an interval.
-  Duration probe_timeout = 300ms;        ///< Then the probe goes through helpers.
-  int probe_helpers = 3;                 ///< Members asked to probe on our behalf.
-  Duration suspicion_time = 3s;          ///< A suspect that does not refute by then is dead.
-  Duration sync_interval = 20s;          ///< Full exchange with one random member.
-  Duration dead_retention = 10min;       ///< How long a dead or left member is remembered.
-  std::size_t updates_per_message = 24;  ///< Gossip piggybacked on a message.
-  int update_retransmissions = 3;        ///< Times log2(members) that an update is passed on.
+  /// Interval between probes; each probes one member.
+  Duration probe_interval = 1s;
+  /// Time after which an unanswered probe is repeated through helpers.
+  Duration probe_timeout = 300ms;
+  /// Members asked to probe on behalf of this node.
+  int probe_helpers = 3;
+  /// A suspected member that does not refute within this time is declared dead.
+  Duration suspicion_time = 3s;
+  /// Interval between full state exchanges with one random member.
+  Duration sync_interval = 20s;
+  /// How long a dead or departed member is remembered.
+  Duration dead_retention = 10min;
+  /// Maximum gossip updates piggybacked on one message.
+  std::size_t updates_per_message = 24;
+  /// An update is retransmitted this many times log2(members).
+  int update_retransmissions = 3;
   std::size_t sync_members_per_message = 16;
 
   // Engines.
-  Duration load_poll_interval = 250ms;         ///< Steward to engine.
-  Duration load_digest_interval = 500ms;       ///< Shortest time between digests of an engine.
-  double load_digest_bytes_per_second = 9000;  ///< That a node may receive; stretches the interval.
-  Duration load_stale_after = 5s;              ///< Older reports are not believed.
-  int ejection_failures = 3;                   ///< Failures in a row that eject an engine.
-  Duration ejection_time = 5s;                 ///< Doubled at every further ejection.
+  /// Interval at which a steward polls the load of an engine.
+  Duration load_poll_interval = 250ms;
+  /// Minimum interval between load digests of an engine.
+  Duration load_digest_interval = 500ms;
+  /// Digest bytes per second that a node may receive; the digest interval is stretched to stay
+  /// within it.
+  double load_digest_bytes_per_second = 9000;
+  /// Load reports older than this are ignored.
+  Duration load_stale_after = 5s;
+  /// Consecutive failures that eject an engine.
+  int ejection_failures = 3;
+  /// Duration of the first ejection; doubled at each further ejection.
+  Duration ejection_time = 5s;
   Duration ejection_time_limit = 60s;
 
   // Pauses of the whole process.
-  Duration pause_threshold = 1500ms;  ///< A longer gap between events means that it was paused.
-  Duration pause_hold = 1s;           ///< Longest wait for fresh news before sending again.
+  /// A longer gap between events means that the process was paused.
+  Duration pause_threshold = 1500ms;
+  /// Maximum wait for current reports after a pause before sending resumes.
+  Duration pause_hold = 1s;
 
   // Online requests.
   int maximum_attempts = 3;
-  double retry_budget_reserve = 5;     ///< Retries allowed before any success.
-  double retry_budget_limit = 100;     ///< Most retries that successes can save up.
-  double affinity_load_bound = 1.25;   ///< Over the mean load of the candidates.
-  Duration initial_service_time = 1s;  ///< Estimate before the first completion.
+  /// Retries allowed before the first success.
+  double retry_budget_reserve = 5;
+  /// Maximum retries that successes can accumulate.
+  double retry_budget_limit = 100;
+  /// Load limit for affinity, as a multiple of the candidates' mean load.
+  double affinity_load_bound = 1.25;
+  /// Service time estimate before the first completion.
+  Duration initial_service_time = 1s;
   Duration minimum_retry_after = 1s;
   Duration maximum_retry_after = 30s;
 
   // Batch.
-  Duration owner_lease = 3s;           ///< An owner that has not read its log tail acts no more.
-  Duration claim_delay = 1s;           ///< Wait before claiming a partition that seems ownerless.
-  Duration handover_delay = 3s;        ///< A preferred owner must be alive for this long.
-  std::size_t attempts_ahead = 64;     ///< Attempts of one job recorded but not yet ended.
-  Duration attempt_settle_time = 10s;  ///< Then an inherited attempt ends as outcome unknown.
-  int maximum_item_attempts = 20;      ///< Then the item fails with the last error.
-  Duration item_retry_delay = 500ms;   ///< Doubled an attempt, up to the limit below.
+  /// An owner that has not read its log tail for this long stops acting as owner.
+  Duration owner_lease = 3s;
+  /// Wait before claiming a partition that appears to have no owner.
+  Duration claim_delay = 1s;
+  /// A preferred owner must have been alive this long before a handover.
+  Duration handover_delay = 3s;
+  /// Maximum attempts of one job that are recorded but not yet ended.
+  std::size_t attempts_ahead = 64;
+  /// An inherited attempt ends as outcome unknown after this time.
+  Duration attempt_settle_time = 10s;
+  /// Attempts after which an item fails with its last error.
+  int maximum_item_attempts = 20;
+  /// Delay before the first retry of an item; doubled per attempt up to `item_retry_delay_limit`.
+  Duration item_retry_delay = 500ms;
   Duration item_retry_delay_limit = 10s;
-  std::uint64_t checkpoint_records = 20'000;  ///< Records between checkpoints of a partition.
+  /// Records between checkpoints of a partition.
+  std::uint64_t checkpoint_records = 20'000;
   std::size_t checkpoint_chunk_bytes = 512 * 1024;
 
   // Replicas, as the gateway sees them.
-  int replica_ejection_failures = 3;  ///< Broken answers in a row that eject a replica.
-  int missed_digests = 3;             ///< Then callers are not sent to a node any more.
-  int maximum_sends_not_run = 4;      ///< Sends in a row that certainly did not run.
-  int silence_objectives =
-      3;  ///< A repeatable request moves on after so many objectives without a byte.
-  Duration replica_ejection_time = 500ms;  ///< Doubled at every further ejection.
+  /// Consecutive broken answers that eject a replica.
+  int replica_ejection_failures = 3;
+  /// Missed digests after which no more callers are sent to a node.
+  int missed_digests = 3;
+  /// Maximum consecutive sends that certainly did not run.
+  int maximum_sends_not_run = 4;
+  /// A repeatable request moves to another replica after this many objectives without a byte; see
+  /// `silence_minimum`.
+  int silence_objectives = 3;
+  /// Duration of the first ejection of a replica; doubled at each further ejection.
+  Duration replica_ejection_time = 500ms;
   Duration replica_ejection_time_limit = 8s;
-  Duration failure_memory = 6s;  ///< A failure counts for a third after this time.
-  double outlier_failures = 3;   ///< Failures of a replica, over all nodes, that matter,
-  double outlier_factor = 4;     ///< if they are so many times the mean of the others.
-  double outlier_share = 0.34;   ///< Of a service's replicas that may be left out for it.
-  Duration own_pause = 400ms;    ///< A longer gap between two rounds, of 50 ms each, means that the
-                                 ///< process stood still.
-  Duration load_digest_lifetime = 1500ms;    ///< Without a sign of life a digest counts this long.
-  Duration replica_digest_interval = 200ms;  ///< Between a node's digests.
-  std::size_t relay_datagram_bytes = 2400;   ///< That a relay sends a node an interval: what 50
-                                             ///< nodes with two requests each, and four with
-                                             ///< 25 items each, have to tell.
-  double prefill_tokens_per_ms = 60;         ///< Assumed speed at which a replica reads prompts.
-  double announced_prefill_tokens = 3000;  ///< A longer prompt is told to the other nodes at once.
-  double slot_pressure_ms = 10;            ///< Cost of a replica that is just full.
-  std::size_t selection_draws = 3;         ///< Replicas drawn by load and compared for a request.
-  double selection_margin_ms = 0.5;        ///< The first one drawn yields to one cheaper by this.
-  double own_zone_preference = 3.0;   ///< How much likelier a replica of the own zone is drawn.
-  double affinity_tokens = 1000;      ///< A replica that holds so much of a prompt is compared.
-  double load_uncertainty = 1.0;      ///< Spread of the real load around the expected one.
-  Duration load_view_delay = 150ms;   ///< Until a change of load is in a digest and here.
-  Duration arrival_memory = 500ms;    ///< Over which a node's sends make its rate.
-  double arrival_prior_requests = 1;  ///< Own requests that weigh as much as what digests tell of
-                                      ///< the fleet's rate. More misses a burst that only the
-                                      ///< nodes themselves see yet (replica_selector_test.cpp).
-  std::size_t slot_share_nodes = 21;  ///< Smallest fleet whose nodes have slots of their own: in
-                                      ///< one of `LoadRelay::kDirectNodes` digests are fresh.
-  std::size_t slot_share_work = 400'000;  ///< Units times nodes beyond which nothing is dealt: a
-                                          ///< deal would hold the event loop up.
-  int slot_share_unit = 2;                ///< Slots of a replica that are dealt together.
-  double remote_zone_ms = 3.0;            ///< Cost of a replica in another zone.
-  double cold_replica_ms = 50;            ///< Cost of a replica that has just started.
-  std::size_t cold_senders = 2;    ///< Nodes that use a replica while it is cold: one may be dead.
-  double batch_fill = 0.9;         ///< Batch goes to replicas below this share of slots.
-  Duration prefix_lifetime = 45s;  ///< A prompt is expected in a cache for this long.
-  std::size_t prefix_entries = 4096;  ///< Prefixes remembered.
-  std::size_t prefix_replicas = 4;    ///< Replicas remembered a prefix.
-  double home_confidence = 0.9;       ///< Share of a prefix expected at its home.
+  /// Decay time of failures: after it a failure counts for one third.
+  Duration failure_memory = 6s;
+  /// Minimum failures of a replica, summed over all nodes, for outlier detection.
+  double outlier_failures = 3;
+  /// A replica is an outlier if its failures are this many times the mean of the others.
+  double outlier_factor = 4;
+  /// Maximum share of a service's replicas that outlier detection may exclude.
+  double outlier_share = 0.34;
+  /// A longer gap between two rounds, which are 50 ms apart, means that the process was paused.
+  Duration own_pause = 400ms;
+  /// How long a digest counts without a sign of life from its sender.
+  Duration load_digest_lifetime = 1500ms;
+  /// Interval between the digests of a node.
+  Duration replica_digest_interval = 200ms;
+  /// Maximum bytes that a relay sends to a node per interval: enough for the digests of 50 nodes
+  /// with two requests each and four nodes with 25 items each.
+  std::size_t relay_datagram_bytes = 2400;
+  /// Assumed prompt processing speed of a replica, in tokens per millisecond.
+  double prefill_tokens_per_ms = 60;
+  /// A prompt of more tokens is announced to the other nodes immediately.
+  double announced_prefill_tokens = 3000;
+  /// Cost, in milliseconds, of a replica that is exactly full.
+  double slot_pressure_ms = 10;
+  /// Replicas drawn by load and compared for one request.
+  std::size_t selection_draws = 3;
+  /// The first drawn replica yields to another that is cheaper by this many milliseconds.
+  double selection_margin_ms = 0.5;
+  /// Factor by which a replica in the node's own zone is more likely to be drawn.
+  double own_zone_preference = 3.0;
+  /// A replica that caches this many tokens of a prompt joins the comparison.
+  double affinity_tokens = 1000;
+  /// Spread of the actual load around the expected load.
+  double load_uncertainty = 1.0;
+  /// Time until a load change is in a digest and has reached this node.
+  Duration load_view_delay = 150ms;
+  /// Time over which the sends of a node are averaged to a rate.
+  Duration arrival_memory = 500ms;
+  /// Weight of the fleet's rate from digests, in requests of this node. A larger weight misses a
+  /// burst that only the nodes themselves see yet (replica_selector_test.cpp).
+  double arrival_prior_requests = 1;
+  /// Smallest fleet in which nodes have slots of their own: in a fleet of `LoadRelay::kDirectNodes`
+  /// digests are recent enough without them.
+  std::size_t slot_share_nodes = 21;
+  /// Limit on units times nodes; above it no slots are assigned, since the assignment would block
+  /// the event loop.
+  std::size_t slot_share_work = 400'000;
+  /// Slots of a replica that are assigned together.
+  int slot_share_unit = 2;
+  /// Cost, in milliseconds, of a replica in another zone.
+  double remote_zone_ms = 3.0;
+  /// Cost, in milliseconds, of a replica that has just started.
+  double cold_replica_ms = 50;
+  /// Nodes that send to a replica while it is cold; more than one, since one may be dead.
+  std::size_t cold_senders = 2;
+  /// Batch items go to replicas whose used share of slots is below this.
+  double batch_fill = 0.9;
+  /// How long a prompt is expected to stay in a cache.
+  Duration prefix_lifetime = 45s;
+  /// Maximum prefixes remembered.
+  std::size_t prefix_entries = 4096;
+  /// Maximum replicas remembered per prefix.
+  std::size_t prefix_replicas = 4;
+  /// Share of a prefix expected in the cache of its first home replica.
+  double home_confidence = 0.9;
+  /// Share of a prefix expected in the cache of its second home replica.
   double second_home_confidence = 0.4;
-  Duration replica_connect_timeout = 300ms;  ///< Then the request certainly has not run.
-  Duration replica_connection_idle = 8s;     ///< Older kept connections are not used.
-  Duration silence_minimum = 1s;             ///< objectives without a byte, and not before this.
-  Duration retry_after_minimum = 300ms;      ///< Told to callers that are refused,
-  Duration retry_after_spread = 700ms;  ///< spread by request so that they do not return at once.
+  /// Connect timeout; a request that hits it certainly has not run.
+  Duration replica_connect_timeout = 300ms;
+  /// Kept connections that were idle for longer are not reused.
+  Duration replica_connection_idle = 8s;
+  /// Minimum time without a byte before `silence_objectives` applies.
+  Duration silence_minimum = 1s;
+  /// Minimum retry delay given to refused callers.
+  Duration retry_after_minimum = 300ms;
+  /// Range of the delay added to `retry_after_minimum` per request, so that refused callers do not
+  /// return at once.
+  Duration retry_after_spread = 700ms;
 
   // Paces of replicas.
-  int pace_memory_runs = 20;           ///< Runs over which the usual pace of a replica is learnt.
-  int pace_least_runs = 6;             ///< Fewer say nothing.
-  double pace_clear_factor = 1.2;      ///< A pace nearer to the middle is taken for the middle's.
-  double pace_limit = 4;               ///< No replica is taken to be slower or faster than this.
-  Duration pace_stated_fresh = 300ms;  ///< What a replica states of the moment holds this long,
-  Duration pace_stated_fade = 600ms;   ///< and then gives way to the usual pace over this time.
-  Duration pace_report_interval = 1s;  ///< Between a node's words on what it has learnt.
-  std::size_t pace_entries = 8;        ///< Replicas told of at a time.
-  Duration pace_word_lifetime = 15s;   ///< Another node's word counts this long,
-  std::size_t pace_words = 5;          ///< and those of so many nodes are kept for a replica.
-  Duration replica_full_time = 100ms;  ///< A replica that turned a request away without telling
-                                       ///< its load is taken to be full for this long.
+  /// Runs over which the usual pace of a replica is learnt.
+  int pace_memory_runs = 20;
+  /// Minimum runs from which a pace is derived.
+  int pace_least_runs = 6;
+  /// A pace within this factor of the median is treated as the median.
+  double pace_clear_factor = 1.2;
+  /// Maximum factor by which a replica is considered slower or faster.
+  double pace_limit = 4;
+  /// How long the current pace stated by a replica applies in full.
+  Duration pace_stated_fresh = 300ms;
+  /// Time over which a stated pace gives way to the usual pace, after `pace_stated_fresh`.
+  Duration pace_stated_fade = 600ms;
+  /// Interval between a node's reports of learnt paces.
+  Duration pace_report_interval = 1s;
+  /// Maximum replicas in one pace report.
+  std::size_t pace_entries = 8;
+  /// How long a pace report of another node counts.
+  Duration pace_word_lifetime = 15s;
+  /// Maximum nodes whose pace reports are kept per replica.
+  std::size_t pace_words = 5;
+  /// A replica that rejected a request without stating its load is considered full for this long.
+  Duration replica_full_time = 100ms;
 
   // Overload of the replicas.
-  double overload_objectives = 2;     ///< Refuse if the expected wait is so many objectives,
-  double overload_whole_time = 0.97;  ///< and the caller has so much of its time left, as a share;
-  double overload_return_earliest = 0.12;  ///< it may come back after so much of its time,
-  double overload_return_latest = 0.32;    ///< or so much: callers wait no more than a third.
+  /// A request is refused if its expected wait is this many objectives and `overload_whole_time`
+  /// holds.
+  double overload_objectives = 2;
+  /// Minimum share of the caller's time that must remain for an overload refusal.
+  double overload_whole_time = 0.97;
+  /// Earliest return of a refused caller, as a share of its time.
+  double overload_return_earliest = 0.12;
+  /// Latest return of a refused caller, as a share of its time; callers wait at most a third.
+  double overload_return_latest = 0.32;
 
-  Duration removal_grace = 2s;  ///< For records that lapsed while the log was away to come back.
+  /// Time for records that lapsed while the log was unavailable to reappear.
+  Duration removal_grace = 2s;
 
   // Batch items.
-  double batch_slot_share = 0.8;    ///< Of all slots, for the items of all nodes at most.
-  double batch_urgent_share = 0.6;  ///< Of all slots, for urgent items whatever online does.
-  double batch_least_items = 2;     ///< That a node with items runs in any case.
-  double yield_request_load = 0.9;  ///< Of a replica's slots, expected to be taken, from which on
-                                    ///< an item there gives its slot to an online request.
-  double yield_trust = 1;           ///< Share of the items at a replica that are reckoned to give
-                                    ///< way when an online request needs it.
-  Duration yield_request_pause = 50ms;  ///< Until an item that gave way runs again.
-  double batch_reserved_slots = 1;      ///< Of each engine, that patient items leave free.
-  double batch_yield_tolerance = 1.2;   ///< Items run up to so many times what is allowed.
-  double batch_urgent_time = 0.5;  ///< An item is urgent in the last part of its time, as a share.
-  Duration batch_start_delay = 700ms;  ///< After a node's start, until it knows the others' load.
-  Duration clock_error = 5s;           ///< The time of day may be wrong by so much at a node.
-  Duration checkpoint_interval = 1s;   ///< Between writes of what unfinished items produced.
-  Duration item_silence = 3s;          ///< A run without a byte for this long goes on elsewhere.
-  Duration item_route_wait = 1s;       ///< Pause of an item whose route is not known.
-  Duration item_quarantine_wait = 1s;  ///< Between checks of an item that crashes replicas.
-  Duration submission_wait = 2500ms;   ///< A job is offered to the log for this long.
-  Duration submission_forward_delay = 200ms;  ///< Without the log's word a job is passed on then;
-                                              ///< objectives for accepting are 400 ms and more.
-  int submission_forwards = 2;  ///< Nodes that a job is passed on to, one after the other.
+  /// Maximum share of all slots for the items of all nodes.
+  double batch_slot_share = 0.8;
+  /// Share of all slots for urgent items, regardless of online load.
+  double batch_urgent_share = 0.6;
+  /// Items that a node with items may always run.
+  double batch_least_items = 2;
+  /// Expected used share of a replica's slots from which an item there yields its slot to an online
+  /// request.
+  double yield_request_load = 0.9;
+  /// Share of a replica's items assumed to yield when an online request needs a slot.
+  double yield_trust = 1;
+  /// Time until an item that yielded runs again.
+  Duration yield_request_pause = 50ms;
+  /// Slots of each engine that patient items leave free.
+  double batch_reserved_slots = 1;
+  /// Items may run up to this multiple of the allowance.
+  double batch_yield_tolerance = 1.2;
+  /// An item is urgent in this last share of its time.
+  double batch_urgent_time = 0.5;
+  /// Delay after a node's start before items run: the node does not know the load of the others
+  /// earlier.
+  Duration batch_start_delay = 700ms;
+  /// Maximum assumed error of the time of day at a node.
+  Duration clock_error = 5s;
+  /// Interval between writes of the output of unfinished items.
+  Duration checkpoint_interval = 1s;
+  /// A run without a byte for this long continues on another replica.
+  Duration item_silence = 3s;
+  /// Pause of an item whose route is unknown.
+  Duration item_route_wait = 1s;
+  /// Interval between checks of an item that crashes replicas.
+  Duration item_quarantine_wait = 1s;
+  /// How long a job is offered to the log.
+  Duration submission_wait = 2500ms;
+  /// Time without an answer of the log after which a job is forwarded; the objectives for accepting
+  /// are 400 ms and more.
+  Duration submission_forward_delay = 200ms;
+  /// Nodes to which a job is forwarded, one after another.
+  int submission_forwards = 2;
 
   // The rate limits of tenants.
-  Duration rate_report_delay = 600ms;  ///< Until the other nodes know what one has admitted: two
-                                       ///< digest intervals, and one more where a relay was full.
-  Duration rate_report_time = 800ms;   ///< A request is told in each digest for this long, so that
-                                       ///< three lost datagrams in a row lose nothing.
-  Duration rate_silence = 500ms;    ///< A node without a sign of life for so long shares no bucket:
-                                    ///< more than two digests. Longer, nodes that are cut off
-                                    ///< spend together with those that still count them.
-  Duration rate_node_memory = 15s;  ///< A silent node may still admit its part for this long.
-  Duration rate_start_time = 1s;    ///< After its start a node does not know the others yet, and
-  std::size_t rate_start_nodes = 50;  ///< reckons with so many at least.
-  int rate_shared = 1;  ///< 0: each node keeps to an even part by itself, without the others' word.
+  /// Time until the other nodes know what a node admitted: two digest intervals, and one more if a
+  /// relay was full.
+  Duration rate_report_delay = 600ms;
+  /// How long each digest repeats a request, so that three consecutive lost datagrams lose nothing.
+  Duration rate_report_time = 800ms;
+  /// A node silent for this long shares no bucket. More than two digests; if longer, nodes that are
+  /// cut off spend together with nodes that still count them.
+  Duration rate_silence = 500ms;
+  /// How long a silent node may still admit its share.
+  Duration rate_node_memory = 15s;
+  /// Time after its start in which a node does not know the others and assumes `rate_start_nodes`.
+  Duration rate_start_time = 1s;
+  /// Minimum number of nodes assumed during `rate_start_time`.
+  std::size_t rate_start_nodes = 50;
+  /// 0: each node enforces an even share by itself, without reports of the others.
+  int rate_shared = 1;
 
   // The limit on waiting tokens of a route.
-  Duration quota_allotment_time = 2s;          ///< A node relies on what it read for this long.
-  Duration quota_audit_interval = 3s;          ///< Between checks of reservations by owners,
-  Duration quota_audit_interval_near = 300ms;  ///< and where more than this share is in use,
-  double quota_near = 0.25;                    ///< of the limit.
-  Duration quota_orphan_age = 15s;     ///< A reservation without a job is removed after this time:
-                                       ///< `submission_wait`, and twice `clock_error`.
-  Duration quota_recent = 4s;          ///< A repeated submission renews an older reservation.
-  Duration quota_finished_age = 150s;  ///< An empty reservation is removed after this time; jobs
-                                       ///< are looked at for 120 s.
-  Duration quota_release_memory = 5s;  ///< Over which finished items make the rate of release.
-  Duration quota_retry_earliest = 500ms;  ///< Least and most time that a caller is told to wait
-  Duration quota_retry_latest = 10s;      ///< for room under the limit.
+  /// How long a node relies on the allotment that it read.
+  Duration quota_allotment_time = 2s;
+  /// Interval between checks of reservations by owners.
+  Duration quota_audit_interval = 3s;
+  /// Audit interval while more than `quota_near` of the limit is in use.
+  Duration quota_audit_interval_near = 300ms;
+  /// Used share of the limit above which `quota_audit_interval_near` applies.
+  double quota_near = 0.25;
+  /// A reservation without a job is removed after this time: `submission_wait` plus twice
+  /// `clock_error`, with a margin.
+  Duration quota_orphan_age = 15s;
+  /// A repeated submission renews a reservation older than this.
+  Duration quota_recent = 4s;
+  /// An empty reservation is removed after this time; jobs are looked at for 120 s.
+  Duration quota_finished_age = 150s;
+  /// Time over which finished items are averaged to the release rate.
+  Duration quota_release_memory = 5s;
+  /// Minimum wait that a caller is given for room under the limit.
+  Duration quota_retry_earliest = 500ms;
+  /// Maximum wait that a caller is given for room under the limit.
+  Duration quota_retry_latest = 10s;
 
   // Requests that crash replicas.
-  std::size_t crash_limit = 3;    ///< Replicas that ended under a request, and it is quarantined.
-  bool crash_attribution = true;  ///< Ends of quarantined online requests spare items.
-  Duration crash_memory = 10min;  ///< An end counts for this long.
-  std::size_t crash_requests = 4096;       ///< Requests remembered,
-  std::size_t crash_ends = 8;              ///< and ends of replicas a request.
-  Duration crash_probe_timeout = 300ms;    ///< For connecting to a replica that may have ended,
-  Duration crash_probe_interval = 300ms;   ///< between attempts,
-  int crash_probe_attempts = 5;            ///< and how often that is tried without a clear result.
-  std::size_t crash_witnesses = 8;         ///< Nodes that are told of each end, the same ones by
-                                           ///< everybody: they add up what the others saw.
-  int crash_report_rounds = 3;             ///< Times that a report is sent: datagrams get lost.
-  Duration crash_report_interval = 300ms;  ///< Between these.
-  Duration crash_gossip_interval = 1s;   ///< Between messages to members drawn at random, for nodes
-                                         ///< that missed the reports,
-  std::size_t crash_gossip_members = 2;  ///< so many each time,
-  std::size_t crash_gossip_requests = 7;  ///< of so many requests.
-  Duration crash_catch_up_time = 5s;  ///< After a start or a pause a node asks others for so long.
+  /// Replicas that crashed under a request before it is quarantined.
+  std::size_t crash_limit = 3;
+  /// Whether crashes caused by quarantined online requests are not charged to items.
+  bool crash_attribution = true;
+  /// How long a crash counts.
+  Duration crash_memory = 10min;
+  /// Maximum requests remembered.
+  std::size_t crash_requests = 4096;
+  /// Maximum crashes remembered per request.
+  std::size_t crash_ends = 8;
+  /// Connect timeout of a probe to a replica that may have crashed.
+  Duration crash_probe_timeout = 300ms;
+  /// Interval between crash probes.
+  Duration crash_probe_interval = 300ms;
+  /// Maximum crash probes without a clear result.
+  int crash_probe_attempts = 5;
+  /// Nodes that receive each crash report, the same ones from every sender, so that they can sum up
+  /// the reports.
+  std::size_t crash_witnesses = 8;
+  /// Times that a report is sent, since datagrams get lost.
+  int crash_report_rounds = 3;
+  /// Interval between repetitions of a report.
+  Duration crash_report_interval = 300ms;
+  /// Interval between gossip to random members, for nodes that missed the reports.
+  Duration crash_gossip_interval = 1s;
+  /// Members that receive each gossip message.
+  std::size_t crash_gossip_members = 2;
+  /// Maximum requests in a gossip message.
+  std::size_t crash_gossip_requests = 7;
+  /// How long a node asks others for crashes after a start or a pause.
+  Duration crash_catch_up_time = 5s;
 
   // The platform's log.
-  Duration freshness_bound = 2s;     ///< From a record's confirmation until all nodes act on it, as
-                                     ///< the settings ask; see FreshnessBudget.
-  Duration watch_pause = 200ms;      ///< After records the next read waits this long, so that many
-                                     ///< records in a row come in few reads. A tenth of the 2 s
-                                     ///< within which a drain or a configuration must be in force.
-  Duration log_retry_delay = 150ms;  ///< After a failed write; doubled and spread at random.
+  /// Maximum time from a record's confirmation until all nodes act on it, as the settings require;
+  /// see FreshnessBudget.
+  Duration freshness_bound = 2s;
+  /// Pause after a read that returned records, so that a burst of records takes few reads. A tenth
+  /// of the 2 s within which a drain or a configuration must be in force.
+  Duration watch_pause = 200ms;
+  /// Delay after a failed write; doubled per failure, with jitter.
+  Duration log_retry_delay = 150ms;
   Duration log_retry_delay_limit = 1200ms;
-  Duration log_hedge_delay = 120ms;  ///< A write without an answer is sent again after this time;
-  int log_hedge_calls = 3;           ///< so many calls at most, each waits twice as long.
-  Duration group_lease = 2000ms;     ///< A silent member loses its partitions after this time.
-  Duration read_validity = 1000ms;   ///< After a renewal of the lease reads are answered this long.
-  Duration handover_drain = 2500ms;  ///< Running items may end before a partition is released.
+  /// A write without an answer is sent again (hedged) after this time; each further call waits
+  /// twice as long.
+  Duration log_hedge_delay = 120ms;
+  /// Maximum calls of a hedged write.
+  int log_hedge_calls = 3;
+  /// A silent member loses its partitions after this time.
+  Duration group_lease = 2000ms;
+  /// How long reads are answered after a renewal of the lease.
+  Duration read_validity = 1000ms;
+  /// Time for running items to end before a partition is released.
+  Duration handover_drain = 2500ms;
 };
 
 }  // namespace dockpoint
