--- a/include/dockpoint/config/configuration_fold.hpp
+++ b/include/dockpoint/config/configuration_fold.hpp
@@ -11,16 +11,16 @@
 
 /// The configuration stream and its fold.
 ///
-/// Operators race: any number of changes may be appended at once, and an append whose answer was
-/// lost may be appended again. The fold reads the stream in offset order and takes a change only
-/// if it names the current revision and validates. So exactly one of several racing changes wins,
-/// every node that has read the same prefix holds the same revision, and no revision reverts.
+/// Operators may append changes concurrently, and an append whose answer was lost may be repeated.
+/// The fold reads the stream in offset order and accepts a change only if it is based on the
+/// current revision and validates. So exactly one of several racing changes wins, every node that
+/// has read the same prefix holds the same revision, and no revision reverts.
 namespace dockpoint {
 
 /// A proposed change, as a record of the stream `configuration`.
 struct ConfigurationChange {
   std::string id;                   ///< Unique; the same for an append that is repeated.
-  std::uint64_t base_revision = 0;  ///< Revision that the change was made from.
+  std::uint64_t base_revision = 0;  ///< Revision that the change is based on.
   std::string author;
   std::string document;  ///< The whole new configuration, JSON.
   DOCKPOINT_FIELDS(id, base_revision, author, document)
@@ -29,7 +29,7 @@
 /// An accepted change, without its document.
 struct AcceptedChange {
   std::uint64_t revision = 0;
-  std::uint64_t offset = 0;  ///< Of its record.
+  std::uint64_t offset = 0;  ///< Offset of the change's record.
   std::string change_id;
   std::string author;
   DOCKPOINT_FIELDS(revision, offset, change_id, author)
@@ -38,24 +38,24 @@
 /// One accepted revision.
 struct ConfigurationRevision {
   std::uint64_t revision = 0;     ///< 0: none yet.
-  std::uint64_t next_offset = 0;  ///< Offset after the record that brought it.
+  std::uint64_t next_offset = 0;  ///< Offset after the record of this revision.
   std::string change_id;
   std::string author;
   std::string document;
-  /// The most recent changes, this one included, oldest first. A node that takes the revision from
-  /// a peer skips their records in the log, and still knows what became of each.
+  /// The most recent changes, this one included, oldest first. A node that adopts the revision
+  /// from a peer skips their records in the log but still knows the outcome of each.
   std::deque<AcceptedChange> history;
   DOCKPOINT_FIELDS(revision, next_offset, change_id, author, document, history)
 };
 
-/// What became of one change.
+/// Verdict on one change.
 enum class ChangeVerdict { kAccepted, kDuplicate, kConflict, kInvalid };
 
 /// The outcome of one record.
 struct ChangeOutcome {
   ChangeVerdict verdict = ChangeVerdict::kInvalid;
   std::uint64_t revision = 0;  ///< Revision in force after the record.
-  std::string detail;          ///< Why it was not taken.
+  std::string detail;          ///< Why the change was rejected.
 };
 
 /// Fold of the configuration stream. Not thread-safe.
@@ -69,18 +69,18 @@
   /// Skips a record that could not be decoded.
   void skip(std::uint64_t offset) { next_offset_ = offset + 1; }
 
-  /// Takes a revision that a peer holds, if it is newer than what is in force here.
-  /// @return whether it was taken.
+  /// Adopts a revision of a peer if it is newer than the revision in force here.
+  /// @return whether it was adopted.
   bool adopt(const ConfigurationRevision& revision);
 
   /// @return the revision in force; its `revision` is 0 before the first.
   const ConfigurationRevision& current() const { return current_; }
 
   /// @return the parsed configuration in force; empty before the first revision. Shared, so that
-  /// readers keep a consistent whole while a newer one takes its place.
+  /// readers keep a consistent snapshot while a newer one replaces it.
   std::shared_ptr<const FleetConfig> config() const { return config_; }
 
-  /// @return the offset from which to read on.
+  /// @return the offset of the next record to read.
   std::uint64_t next_offset() const { return next_offset_; }
 
   /// @return the most recent accepted changes, oldest first.
--- a/include/dockpoint/config/fleet_config.hpp
+++ b/include/dockpoint/config/fleet_config.hpp
@@ -17,14 +17,14 @@
   std::string address;  ///< `IP:port` of the engine's HTTP interface.
   std::string model;
   Labels labels;
-  int slots = 1;          ///< Sequences that the engine decodes at once.
+  int slots = 1;          ///< Sequences that the engine decodes concurrently.
   bool draining = false;  ///< Set by the operator: no new work.
 
   /// @return the label `zone`, or an empty string.
   std::string zone() const;
 };
 
-/// A name that callers put into the `model` field, and the engines that may serve it.
+/// A service: the name that callers put into the `model` field, and the engines that may serve it.
 struct ServiceConfig {
   std::string name;
   std::string model;  ///< Model that the engines must hold.
@@ -38,7 +38,7 @@
   int weight = 1;
 };
 
-/// Limits of every node.
+/// Limits that apply to each node.
 struct LimitsConfig {
   int online_queue_per_node = 256;    ///< Requests waiting on one node.
   int retry_budget_percent = 20;      ///< Retries as a share of recent successes.
--- a/include/dockpoint/config/routing_configuration.hpp
+++ b/include/dockpoint/config/routing_configuration.hpp
@@ -12,7 +12,7 @@
 /// The operator's routes: which service answers which path of which host, and how.
 namespace dockpoint {
 
-/// What may be done with the requests of a route.
+/// How the requests of a route may be executed.
 enum class RouteKind {
   kIdempotent,     ///< May run more than once.
   kNonIdempotent,  ///< Runs at most once.
@@ -32,16 +32,16 @@
   std::string host;
   std::string path_prefix;  ///< Begins and ends with a slash.
   RouteKind kind = RouteKind::kIdempotent;
-  std::vector<WeightedService> services;  ///< Requests are shared out by weight.
-  int attempts = 1;                       ///< Most replicas that one request may run on.
+  std::vector<WeightedService> services;  ///< Requests are distributed by weight.
+  int attempts = 1;                       ///< Maximum replicas tried for one request.
   int priority = 0;                       ///< 0 is the most urgent.
-  bool needs_key = true;                  ///< Where there are tenants: open to them only.
-  bool resumable = false;                 ///< A broken stream may go on at another replica.
-  Duration timeout{};                     ///< Longest time that a request is held.
+  bool needs_key = true;                  ///< If tenants are configured, only they have access.
+  bool resumable = false;                 ///< A broken stream may resume on another replica.
+  Duration timeout{};                     ///< Maximum time that a request is held.
   Duration target{};                      ///< Latency objective: to the answer or the first event.
-  Duration gap_target{};                  ///< Longest pause between events that is in time.
+  Duration gap_target{};                  ///< Latency objective: pause between two events.
   Duration completion_target{};           ///< Batch: from submission to the last result.
-  Duration retention{};                   ///< Batch: items may be given up after this time.
+  Duration retention{};                   ///< Batch: items may be abandoned after this time.
   double max_waiting_tokens = 0;  ///< Batch: of a tenant's unfinished items, over all nodes; 0: no
                                   ///< limit. Without tenants, of all callers together.
 
@@ -55,10 +55,10 @@
 struct ReplicaServiceConfig {
   std::string name;
   std::string health_path;
-  int maximum_connections = 0;     ///< That a replica takes from all callers; 0: unknown.
-  int slots = 0;                   ///< Requests that a replica runs at once; 0: unknown.
-  std::uint64_t cache_tokens = 0;  ///< Memory of a replica; 0: not a model engine.
-  double cold_per_second = 0;      ///< Requests that a cold replica carries; 0: no limit is stated.
+  int maximum_connections = 0;     ///< Per replica, over all callers; 0: unknown.
+  int slots = 0;                   ///< Concurrent requests of a replica; 0: unknown.
+  std::uint64_t cache_tokens = 0;  ///< Cache size of a replica; 0: not a model engine.
+  double cold_per_second = 0;      ///< Requests that a cold replica handles; 0: no stated limit.
 };
 
 /// What callers may send and how long connections may take.
@@ -69,7 +69,7 @@
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
-/// One version of the operator's routes. Versions only grow.
+/// One version of the operator's routes. Versions only increase.
 struct RoutingConfiguration {
   std::uint64_t version = 0;  ///< 0: none is known yet.
   std::vector<RouteConfig> routes;
@@ -81,11 +81,11 @@
   const RouteConfig* match(std::string_view host, std::string_view path) const;
 };
 
-/// Shares requests of a route out by weight, so that also short runs keep the shares (smooth
-/// weighted round robin). Not thread-safe.
+/// Distributes requests of a route by weight with smooth weighted round robin, which keeps the
+/// shares even over short runs. Not thread-safe.
 class ServiceRotation {
  public:
-  /// @param offset turns the start of each route's sequence, so that nodes differ.
+  /// @param offset shifts the start of each route's sequence, so that nodes differ.
   explicit ServiceRotation(std::uint64_t offset = 0) : offset_(offset) {}
 
   /// @return the service for the next request of `route`, which must name at least one.
--- a/include/dockpoint/core/address.hpp
+++ b/include/dockpoint/core/address.hpp
@@ -6,12 +6,12 @@
 
 namespace dockpoint {
 
-/// An IP number and a port, as in settings and configuration.
+/// An IP address and a port, as written in settings and configuration.
 struct Address {
   std::string host;
   std::uint16_t port = 0;
 
-  /// Reads `IP:port`; host names are not taken, since processes meet by IP number.
+  /// Reads `IP:port`; host names are rejected, since processes address each other by IP.
   static std::optional<Address> parse(const std::string& text);
 
   std::string to_string() const { return host + ":" + std::to_string(port); }
--- a/include/dockpoint/core/codec.hpp
+++ b/include/dockpoint/core/codec.hpp
@@ -32,7 +32,7 @@
 
 namespace dockpoint {
 
-/// Deepest nesting that a decoded value may have.
+/// Maximum nesting depth of a decoded value.
 inline constexpr int kMaximumCodecDepth = 32;
 
 namespace codec_detail {
@@ -57,7 +57,7 @@
   return Converter<T>::from(value);
 }
 
-/// Numbers, booleans, text, enumerations and structs.
+/// Converts numbers, booleans, strings, enumerations and structs.
 template <class T>
 struct Converter {
   static Value to(const T& value) {
@@ -108,7 +108,7 @@
   }
 };
 
-/// Vectors and deques.
+/// Converts vectors and deques.
 template <class Sequence>
 struct SequenceConverter {
   static Value to(const Sequence& sequence) {
@@ -135,7 +135,7 @@
 template <class T>
 struct Converter<std::deque<T>> : SequenceConverter<std::deque<T>> {};
 
-/// Maps travel as an array of pairs, so that keys may have any type.
+/// Converts maps, encoded as an array of pairs so that keys may have any type.
 template <class Key, class T>
 struct Converter<std::map<Key, T>> {
   static Value to(const std::map<Key, T>& map) {
@@ -165,7 +165,7 @@
   }
 };
 
-/// Refuses deep nesting before the decoder, which recurses, meets it.
+/// Rejects too deep nesting before the recursive decoder runs.
 class DepthGuard : public nlohmann::json_sax<Value> {
  public:
   bool null() override { return true; }
--- a/include/dockpoint/core/decaying_count.hpp
+++ b/include/dockpoint/core/decaying_count.hpp
@@ -4,17 +4,17 @@
 
 namespace dockpoint {
 
-/// A count of events that forgets: an event counts for one when it happens and for a third after
-/// `memory`. Free of clocks.
+/// Exponentially decaying count of events: an event counts as one when it happens and as about a
+/// third (1/e) after `memory`. Reads no clock.
 class DecayingCount {
  public:
   explicit DecayingCount(Duration memory) : memory_(memory) {}
 
-  /// @param weight counts as so many events.
+  /// @param weight number of events that this one counts as.
   void add(TimePoint now, double weight = 1);
-  /// @return events, each for what it still counts.
+  /// @return the decayed number of events.
   double value(TimePoint now) const;
-  /// @return events a second.
+  /// @return the decayed rate, in events per second.
   double per_second(TimePoint now) const;
 
  private:
--- a/include/dockpoint/core/error.hpp
+++ b/include/dockpoint/core/error.hpp
@@ -12,13 +12,13 @@
 /// Errors travel as Boost.LEAF results that carry one `Error`.
 namespace dockpoint {
 
-/// What went wrong, where, and what the caller may conclude from it.
+/// An error: its code, its place, and whether the request ran or may be retried.
 struct Error {
   ResultCode code = ResultCode::kInternal;
   std::string message{};                ///< One sentence without trailing newline.
   std::string place{};                  ///< Field, key or line at fault; may be empty.
   RunState run = RunState::kNotRun;     ///< Whether the request ran on an engine.
-  std::chrono::seconds retry_after{0};  ///< Zero: coming back makes no sense.
+  std::chrono::seconds retry_after{0};  ///< Zero: a retry is pointless.
 };
 
 template <class T>
@@ -47,7 +47,7 @@
 }
 
 /// Evaluates a fallible function, which returns `Result<T>`.
-/// @return its value, or nothing: then `problem` is the error's message.
+/// @return its value, or nothing on failure; then `problem` holds the error's message.
 template <class Function>
 auto value_or_problem(Function&& function, std::string& problem) {
   using Value = std::remove_cvref_t<decltype(function().value())>;
--- a/include/dockpoint/core/hash.hpp
+++ b/include/dockpoint/core/hash.hpp
@@ -21,14 +21,14 @@
   auto operator<=>(const Hash128&) const = default;
   /// @return 32 lower-case hexadecimal digits.
   std::string hex() const;
-  /// @return the hash of 32 hexadecimal digits, or nothing if the text is none.
+  /// @return the hash of 32 hexadecimal digits, or nothing if the text is malformed.
   static std::optional<Hash128> parse(std::string_view text);
 };
 
 /// @return a 128-bit hash of `bytes`.
 Hash128 hash128(std::string_view bytes);
 
-/// @return the same as 32 lower-case hexadecimal digits.
+/// @return the 128-bit hash of `bytes` as 32 lower-case hexadecimal digits.
 std::string hash128_hex(std::string_view bytes);
 
 /// Score of `candidate` for `key` in rendezvous hashing; the highest score wins.
@@ -37,7 +37,7 @@
 /// Mixes a value into a running hash.
 std::uint64_t combine_hash(std::uint64_t seed, std::uint64_t value);
 
-/// @return a number from 0 to 1 that a hash stands for.
+/// @return the hash mapped to a number from 0 to 1.
 constexpr double fraction_of(std::uint64_t hash) {
   constexpr std::uint64_t kSteps = 1'000;
   return static_cast<double>(hash % kSteps) / static_cast<double>(kSteps);
--- a/include/dockpoint/core/json_reader.hpp
+++ b/include/dockpoint/core/json_reader.hpp
@@ -28,7 +28,7 @@
   std::int64_t maximum = std::numeric_limits<std::int64_t>::max();
 };
 
-/// Deepest nesting that any document may have.
+/// Maximum nesting depth of a document.
 inline constexpr int kMaximumJsonDepth = 32;
 
 /// Parses `text` as one JSON object. Rejects invalid UTF-8, nesting deeper than
@@ -67,14 +67,14 @@
                      std::string fallback);
   /// @return the strings of an array; empty if absent.
   std::vector<std::string> texts(const std::string& key);
-  /// @return a reader a member of an array of objects; empty if absent.
+  /// @return one reader per element of an array of objects; empty if absent.
   std::vector<ObjectReader> objects(const std::string& key);
   /// @return a reader of the nested object, which is empty if the key is absent.
   ObjectReader object(const std::string& key);
-  /// @return the object's keys, for objects whose keys are names.
+  /// @return the object's keys, for objects that map names to values.
   std::vector<std::string> keys() const;
 
-  /// Reports every key that no getter asked for.
+  /// Reports every key that no getter has read.
   void reject_unknown_keys();
 
   /// Reports a problem with `key`.
--- a/include/dockpoint/core/knob_table.hpp
+++ b/include/dockpoint/core/knob_table.hpp
@@ -6,8 +6,8 @@
 
 #include "dockpoint/core/knobs.hpp"
 
-/// Names of the knobs that decide how a gateway uses replicas, so that an experiment can change
-/// them without a build.
+/// Names of the knobs that control how a gateway uses replicas. Experiments set them by name,
+/// without a rebuild.
 namespace dockpoint {
 
 /// One knob by name. Durations are set in milliseconds.
@@ -20,7 +20,7 @@
 /// @return the knobs that an experiment may change.
 const std::vector<KnobInfo>& knob_table();
 
-/// Sets a knob; durations are given in milliseconds. @return false if there is none of this name.
+/// Sets a knob; durations are given in milliseconds. @return false if no knob has this name.
 bool set_knob(Knobs& knobs, std::string_view name, double value);
 
 }  // namespace dockpoint
--- a/include/dockpoint/core/knobs.hpp
+++ b/include/dockpoint/core/knobs.hpp
@@ -303,7 +303,7 @@
   // Requests that crash replicas.
   /// Replicas that crashed under a request before it is quarantined.
   std::size_t crash_limit = 3;
-  /// Whether crashes caused by quarantined online requests are not charged to items.
+  /// If true, crashes attributed to quarantined online requests do not count against items.
   bool crash_attribution = true;
   /// How long a crash counts.
   Duration crash_memory = 10min;
--- a/include/dockpoint/core/life.hpp
+++ b/include/dockpoint/core/life.hpp
@@ -2,8 +2,8 @@
 
 namespace dockpoint {
 
-/// Outlives its owner in the callbacks of calls that are under way, so that they know whether the
-/// owner is still there. Shared by both; the owner's destructor ends it.
+/// Liveness flag of an object that has pending callbacks. The owner and the callbacks share it; the
+/// owner's destructor clears it, so that later callbacks do not touch the destroyed owner.
 struct Life {
   bool alive = true;
 };
--- a/include/dockpoint/core/result_code.hpp
+++ b/include/dockpoint/core/result_code.hpp
@@ -20,7 +20,7 @@
   kConflict = 106,
   kMethodNotAllowed = 107,
   kIdempotencyMismatch = 108,
-  // 2xx: dockpoint will not run it now.
+  // 2xx: dockpoint does not run the request now.
   kNoEligibleEngine = 200,
   kOverloaded = 201,
   kDeadlineExceeded = 202,
@@ -43,7 +43,7 @@
   kInternal = 900,
 };
 
-/// What is known of whether the request ran on an engine.
+/// Whether the request ran on an engine, as far as known.
 enum class RunState { kNotRun, kUnknown, kCompleted };
 
 /// One row of the table of result codes.
@@ -51,7 +51,7 @@
   ResultCode code;
   std::string_view name;     ///< Stable name, as in error bodies and logs.
   int http_status;           ///< Status of an HTTP response that carries the code.
-  bool retry_after;          ///< Whether coming back later makes sense.
+  bool retry_after;          ///< Whether a later retry may succeed.
   std::string_view meaning;  ///< One sentence for the docs.
 };
 
--- a/include/dockpoint/core/suspension_detector.hpp
+++ b/include/dockpoint/core/suspension_detector.hpp
@@ -6,28 +6,29 @@
 
 namespace dockpoint {
 
-/// Notices that the machine was suspended: a clock that counts such time runs ahead of one that
-/// does not.
+/// Detects suspensions of the machine by comparing a clock that includes suspended time with one
+/// that does not.
 class SuspensionDetector {
  public:
-  /// Shorter suspensions are not told.
+  /// Shorter suspensions are not reported.
   static constexpr Duration kShortest = std::chrono::milliseconds(50);
 
-  /// @param now by the clock that counts suspensions. @param running by the one that does not, read
-  /// after it: a process that is preempted between the two readings is not taken for suspended.
-  /// @return how long the machine was suspended since the last call, if it was.
+  /// @param now reading of the clock that includes suspended time.
+  /// @param running reading of the clock that excludes it, taken after `now`, so that a preemption
+  /// between the two readings is not reported as a suspension.
+  /// @return the suspended time since the last call, or nothing if there was none.
   std::optional<Duration> check(TimePoint now, TimePoint running) {
     const Duration ahead = now - running;
     const Duration suspended = ahead - ahead_.value_or(ahead);
-    const bool told = suspended >= kShortest;
-    if (told || !ahead_) {
+    const bool reported = suspended >= kShortest;
+    if (reported || !ahead_) {
       ahead_ = ahead;
     }
-    return told ? std::optional(suspended) : std::nullopt;
+    return reported ? std::optional(suspended) : std::nullopt;
   }
 
  private:
-  std::optional<Duration> ahead_;  ///< Of the first clock, as last noted.
+  std::optional<Duration> ahead_;  ///< Last recorded lead of `now` over `running`.
 };
 
 }  // namespace dockpoint
--- a/include/dockpoint/core/time.hpp
+++ b/include/dockpoint/core/time.hpp
@@ -3,13 +3,13 @@
 #include <chrono>
 #include <cstdint>
 
-/// Time as the decision logic sees it.
+/// Time types of the decision logic.
 ///
 /// Decision classes never read a clock: every call passes `now`. The daemon derives it from the
 /// steady clock, the simulator from its event queue.
 namespace dockpoint {
 
-/// Microseconds are the resolution of all decisions.
+/// All decisions have a resolution of microseconds.
 using Duration = std::chrono::microseconds;
 
 /// Tag for time points that come from a monotonic source outside the decision logic.
@@ -25,7 +25,7 @@
 /// Seconds since the Unix epoch, for values that leave the process (such as `created_at`).
 using UnixSeconds = std::int64_t;
 
-/// @return whole milliseconds of a duration.
+/// @return the duration in whole milliseconds, truncated.
 constexpr std::int64_t to_ms(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
--- a/include/dockpoint/streaming/event_framer.hpp
+++ b/include/dockpoint/streaming/event_framer.hpp
@@ -6,29 +6,29 @@
 #include <string>
 #include <string_view>
 
-/// Cutting a `text/event-stream` into whole events.
+/// Splits a `text/event-stream` into complete events.
 namespace dockpoint {
 
-/// One whole event.
+/// One complete event.
 struct StreamEvent {
-  std::string_view bytes;  ///< As it came, its empty line included.
+  std::string_view bytes;  ///< As received, including the terminating empty line.
   std::optional<std::uint64_t> id;
   std::string data;  ///< Lines of `data`, joined by line feeds.
 };
 
-/// Cuts a stream of bytes into events; keeps what is not whole yet. Not thread-safe.
+/// Splits a stream of bytes into events and buffers an incomplete one. Not thread-safe.
 class EventFramer {
  public:
   using Sink = std::function<void(const StreamEvent&)>;
 
-  /// Takes bytes and calls `sink` for each event that is whole with them.
+  /// Appends bytes and calls `sink` for each event that they complete.
   void feed(std::string_view bytes, const Sink& sink);
 
-  /// @return whether the stream stands between two events.
+  /// @return whether the stream is between two events.
   bool at_boundary() const { return partial_.empty(); }
-  /// @return bytes of the event that is not whole yet.
+  /// @return the buffered bytes of the incomplete event.
   std::size_t partial_bytes() const { return partial_.size(); }
-  /// Forgets the event that is not whole yet.
+  /// Discards the incomplete event.
   void discard_partial() { partial_.clear(); }
 
  private:
--- a/src/config/configuration_fold.cpp
+++ b/src/config/configuration_fold.cpp
@@ -5,20 +5,20 @@
 namespace dockpoint {
 namespace {
 
-/// Changes that travel with a revision; older ones stand in the log.
+/// Maximum accepted changes kept with a revision; older ones are only in the log.
 constexpr std::size_t kHistoryLength = 64;
 
 }  // namespace
 
 ChangeOutcome ConfigurationFold::apply(std::uint64_t offset, const ConfigurationChange& change) {
   next_offset_ = offset + 1;
-  const bool taken_before =
+  const bool already_accepted =
       std::any_of(history().begin(), history().end(),
                   [&](const AcceptedChange& accepted) { return accepted.change_id == change.id; });
-  if (taken_before) {
+  if (already_accepted) {
     return {ChangeVerdict::kDuplicate, current_.revision, "already taken"};
   }
-  // A revision adopted from a peer may cover records that the log shows only later.
+  // A revision adopted from a peer may cover records that this node reads from the log only later.
   const bool covered = offset < current_.next_offset;
   if (covered) {
     return {ChangeVerdict::kConflict, current_.revision, "another change was taken first"};
--- a/src/config/fleet_config.cpp
+++ b/src/config/fleet_config.cpp
@@ -63,7 +63,7 @@
   return limits;
 }
 
-/// Reads an array of named entries and rejects names that stand twice.
+/// Reads an array of named entries and rejects duplicate names.
 template <class Entry, class Read>
 std::map<std::string, Entry> read_named(ObjectReader& root, const std::string& key, Read read) {
   std::map<std::string, Entry> entries;
--- a/src/config/routing_configuration.cpp
+++ b/src/config/routing_configuration.cpp
@@ -12,7 +12,7 @@
   return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + ('a' - 'A')) : letter;
 }
 
-/// Host names do not depend on case; a port behind the name does not count.
+/// Compares host names without regard to case and to a port after the requested name.
 bool same_host(std::string_view requested, std::string_view configured) {
   requested = requested.substr(0, requested.find(':'));
   return std::equal(requested.begin(), requested.end(), configured.begin(), configured.end(),
--- a/src/streaming/event_framer.cpp
+++ b/src/streaming/event_framer.cpp
@@ -6,21 +6,21 @@
 namespace dockpoint {
 namespace {
 
-/// @return the end of the first event in `bytes`, its empty line included, or npos.
+/// @return the end of the first event in `bytes`, including its empty line, or npos.
 std::size_t end_of_event(std::string_view bytes, std::size_t search_from) {
-  for (std::size_t feed = bytes.find('\n', search_from); feed != std::string_view::npos;
-       feed = bytes.find('\n', feed + 1)) {
-    if (bytes.substr(feed + 1, 1) == "\n") {
-      return feed + 2;
+  for (std::size_t newline = bytes.find('\n', search_from); newline != std::string_view::npos;
+       newline = bytes.find('\n', newline + 1)) {
+    if (bytes.substr(newline + 1, 1) == "\n") {
+      return newline + 2;
     }
-    if (bytes.substr(feed + 1, 2) == "\r\n") {
-      return feed + 3;
+    if (bytes.substr(newline + 1, 2) == "\r\n") {
+      return newline + 3;
     }
   }
   return std::string_view::npos;
 }
 
-/// @return the value of a field's line, without the one blank that may precede it.
+/// @return the value of a field line, without one optional leading space.
 std::string_view value_after(std::string_view line, std::size_t colon) {
   line.remove_prefix(std::min(colon + 1, line.size()));
   if (line.starts_with(' ')) {
@@ -34,9 +34,9 @@
   bool has_data = false;
   std::string_view rest = bytes;
   while (!rest.empty()) {
-    const std::size_t feed = std::min(rest.find('\n'), rest.size());
-    std::string_view line = rest.substr(0, feed);
-    rest.remove_prefix(std::min(feed + 1, rest.size()));
+    const std::size_t newline = std::min(rest.find('\n'), rest.size());
+    std::string_view line = rest.substr(0, newline);
+    rest.remove_prefix(std::min(newline + 1, rest.size()));
     if (line.ends_with('\r')) {
       line.remove_suffix(1);
     }
@@ -61,7 +61,7 @@
 }  // namespace
 
 void EventFramer::feed(std::string_view bytes, const Sink& sink) {
-  // An event may end in bytes that came before: the empty line can be cut in two.
+  // The empty line that ends an event can be split between two calls.
   constexpr std::size_t kOverlap = 3;
   std::size_t search_from = partial_.size() > kOverlap ? partial_.size() - kOverlap : 0;
   partial_.append(bytes);
--- a/src/streaming/stream_pace.cpp
+++ b/src/streaming/stream_pace.cpp
@@ -3,8 +3,8 @@
 namespace dockpoint {
 namespace {
 
-/// Fewer events after the first ones do not tell the time between two.
-constexpr int kFewestSteps = 4;
+/// Minimum events after the first ones for a mean time between two events.
+constexpr int kMinimumSteps = 4;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
 
 std::optional<Duration> StreamPace::step() const {
   const int steps = events_ - first_events_;
-  if (steps < kFewestSteps) {
+  if (steps < kMinimumSteps) {
     return std::nullopt;
   }
   return (last_ - first_) / steps;
--- a/tests/config/configuration_fold_test.cpp
+++ b/tests/config/configuration_fold_test.cpp
@@ -25,14 +25,14 @@
   BOOST_TEST(fold.current().change_id == "a");
 }
 
-BOOST_AUTO_TEST_CASE(a_repeated_append_is_no_second_change) {
+BOOST_AUTO_TEST_CASE(a_repeated_append_is_a_duplicate) {
   ConfigurationFold fold;
   fold.apply(0, change("a", 0));
   BOOST_TEST((fold.apply(1, change("a", 0)).verdict == ChangeVerdict::kDuplicate));
   BOOST_TEST(fold.current().revision == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(an_invalid_change_does_not_count) {
+BOOST_AUTO_TEST_CASE(an_invalid_change_is_rejected) {
   ConfigurationFold fold;
   ConfigurationChange broken = change("a", 0);
   broken.document = "{\"partitions\":-1}";
@@ -55,7 +55,7 @@
   BOOST_TEST(behind.adopt(ahead.current()));
   BOOST_TEST(behind.current().revision == 2U);
   BOOST_TEST(behind.next_offset() == 2U);
-  // The log shows the older records only now.
+  // The node reads the older records from the log after the adoption.
   behind.apply(0, change("a", 0));
   behind.apply(1, change("b", 1, 2));
   BOOST_TEST(behind.current().revision == 2U);
@@ -64,7 +64,7 @@
   BOOST_TEST(behind.current().revision == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(an_adopted_revision_still_tells_who_won) {
+BOOST_AUTO_TEST_CASE(an_adopted_revision_keeps_the_outcome_of_earlier_changes) {
   ConfigurationFold ahead;
   ahead.apply(0, change("a", 0));
   ahead.apply(1, change("winner", 1));
@@ -72,7 +72,7 @@
   ahead.apply(3, change("c", 2));
   ConfigurationFold behind;
   behind.adopt(ahead.current());
-  // The operator's own node reads the records it skipped, and must tell each what became of it.
+  // The operator's node reads the skipped records and must report the outcome of each change.
   BOOST_TEST((behind.apply(1, change("winner", 1)).verdict == ChangeVerdict::kDuplicate));
   BOOST_TEST((behind.apply(2, change("loser", 1)).verdict == ChangeVerdict::kConflict));
 }
--- a/tests/config/fleet_config_test.cpp
+++ b/tests/config/fleet_config_test.cpp
@@ -26,7 +26,7 @@
 
 BOOST_AUTO_TEST_SUITE(fleet_config)
 
-BOOST_AUTO_TEST_CASE(takes_the_checked_in_deployments) {
+BOOST_AUTO_TEST_CASE(accepts_the_checked_in_deployments) {
   for (const std::string name : {"relay", "vending"}) {
     BOOST_TEST_CONTEXT(name) {
       std::ifstream file(std::string(DOCKPOINT_SOURCE_DIR) + "/deployments/" + name + ".json");
--- a/tests/config/routing_configuration_test.cpp
+++ b/tests/config/routing_configuration_test.cpp
@@ -30,7 +30,7 @@
   BOOST_TEST(configuration.match("c.example", "/x/") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(only_what_may_run_twice_is_repeatable) {
+BOOST_AUTO_TEST_CASE(only_idempotent_and_resumable_routes_are_repeatable) {
   RouteConfig config;
   config.kind = RouteKind::kIdempotent;
   BOOST_TEST(config.repeatable());
@@ -43,7 +43,7 @@
   BOOST_TEST(!config.repeatable());
 }
 
-BOOST_AUTO_TEST_CASE(weights_hold_in_short_runs_wherever_the_rotation_starts) {
+BOOST_AUTO_TEST_CASE(short_runs_follow_the_weights_for_every_rotation_offset) {
   RouteConfig config = route("split", "a.example", "/");
   config.services = {{"large", 90}, {"small", 10}};
   for (std::uint64_t offset = 0; offset < 20; ++offset) {
--- a/tests/config/tenant_directory_test.cpp
+++ b/tests/config/tenant_directory_test.cpp
@@ -20,7 +20,7 @@
 
 BOOST_AUTO_TEST_SUITE(tenant_directory)
 
-BOOST_AUTO_TEST_CASE(a_key_finds_its_tenant_byte_by_byte) {
+BOOST_AUTO_TEST_CASE(keys_are_compared_byte_by_byte) {
   const TenantDirectory directory =
       TenantDirectory::build({tenant("clinic", {"k1", "k2"}), tenant("shop", {"k3"})}).value();
   BOOST_TEST(directory.enabled());
@@ -33,7 +33,7 @@
   BOOST_TEST(directory.find_by_key(std::string(100'000, 'k')) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(faults_are_named_by_their_place_and_never_by_the_key) {
+BOOST_AUTO_TEST_CASE(errors_name_the_place_and_never_the_key) {
   BOOST_TEST(
       problem_of({tenant("a", {"secret"}), tenant("b", {"secret"})}).starts_with("tenants[1]"));
   BOOST_TEST(problem_of({tenant("a", {"secret"}), tenant("b", {"secret"})}).find("secret") ==
@@ -44,7 +44,7 @@
   BOOST_TEST(problem_of({tenant("", {"k"})}).starts_with("tenants[0].name"));
 }
 
-BOOST_AUTO_TEST_CASE(without_tenants_nobody_needs_a_key_but_with_none_left_everybody_does) {
+BOOST_AUTO_TEST_CASE(keys_are_required_if_a_tenant_list_exists_even_an_empty_one) {
   BOOST_TEST(!TenantDirectory().enabled());
   BOOST_TEST(TenantDirectory::build({}).value().enabled());
 }
--- a/tests/core/decaying_count_test.cpp
+++ b/tests/core/decaying_count_test.cpp
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_SUITE(decaying_count)
 
-BOOST_AUTO_TEST_CASE(a_rate_follows_events_and_forgets_them) {
+BOOST_AUTO_TEST_CASE(the_rate_follows_events_and_decays) {
   DecayingCount count(std::chrono::milliseconds(500));
   for (int event = 0; event < 200; ++event) {
     count.add(at(event * 20));
@@ -18,7 +18,7 @@
   BOOST_TEST(count.per_second(at(199 * 20 + 3'000)) < 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(an_event_counts_for_one_at_once_and_for_a_third_after_its_memory) {
+BOOST_AUTO_TEST_CASE(an_event_decays_to_a_third_after_the_memory) {
   DecayingCount count(std::chrono::seconds(6));
   BOOST_TEST(count.value(at(0)) == 0.0);
   count.add(at(1'000));
--- a/tests/core/json_reader_test.cpp
+++ b/tests/core/json_reader_test.cpp
@@ -34,7 +34,7 @@
   BOOST_TEST((code_of(R"({"a":[1,2,{"b":"\u00e4"}]})") == ResultCode::kOk));
 }
 
-BOOST_AUTO_TEST_CASE(refuses_what_is_not_an_object) {
+BOOST_AUTO_TEST_CASE(rejects_values_other_than_objects) {
   for (const std::string text :
        {"", "[]", "1", "{", "{\"a\":}", "{\"a\":1} x", "nul", "{\"a\":99999999999999999999}"}) {
     BOOST_TEST_CONTEXT(text) {
@@ -43,12 +43,12 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(refuses_deep_nesting) {
+BOOST_AUTO_TEST_CASE(rejects_deep_nesting) {
   const std::string deep = "{\"a\":" + std::string(200, '[') + std::string(200, ']') + "}";
   BOOST_TEST((code_of(deep) == ResultCode::kMalformedBody));
 }
 
-BOOST_AUTO_TEST_CASE(refuses_invalid_utf8) {
+BOOST_AUTO_TEST_CASE(rejects_invalid_utf8) {
   BOOST_TEST((code_of("{\"a\":\"\xff\xfe\"}") == ResultCode::kMalformedBody));
   BOOST_TEST((code_of("{\"a\":\"\xc3\"}") == ResultCode::kMalformedBody));
 }
@@ -65,7 +65,7 @@
   BOOST_TEST(problems[4].place == "extra");
 }
 
-BOOST_AUTO_TEST_CASE(refuses_numbers_of_the_wrong_type) {
+BOOST_AUTO_TEST_CASE(rejects_numbers_of_the_wrong_type) {
   for (const std::string value : {"1.5", "true", "\"3\"", "9223372036854775807", "[1]"}) {
     BOOST_TEST_CONTEXT(value) {
       const Problems problems = problems_of(R"({"name":"x","count":)" + value + "}");
--- a/tests/core/suspension_detector_test.cpp
+++ b/tests/core/suspension_detector_test.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(suspension_detector)
 
-BOOST_AUTO_TEST_CASE(a_clock_that_runs_ahead_tells_how_long_the_machine_was_suspended) {
+BOOST_AUTO_TEST_CASE(reports_the_suspended_time) {
   SuspensionDetector detector;
   BOOST_TEST(!detector.check(at(0s), at(0s)));
   BOOST_TEST(!detector.check(at(50ms), at(50ms)));
@@ -27,14 +27,14 @@
   BOOST_TEST(!detector.check(at(7050ms), at(150ms)));
 }
 
-BOOST_AUTO_TEST_CASE(a_process_that_stands_still_between_the_two_readings_is_not_suspended) {
+BOOST_AUTO_TEST_CASE(preemption_between_the_two_readings_is_no_suspension) {
   SuspensionDetector detector;
   detector.check(at(0s), at(0s));
   BOOST_TEST(!detector.check(at(50ms), at(500ms)));
   BOOST_TEST(!detector.check(at(600ms), at(600ms)));
 }
 
-BOOST_AUTO_TEST_CASE(decision_time_counts_the_time_that_the_machine_was_suspended) {
+BOOST_AUTO_TEST_CASE(decision_time_includes_suspended_time) {
   const TimePoint before = net::read_clock(CLOCK_BOOTTIME);
   const TimePoint now = net::steady_now();
   const TimePoint after = net::read_clock(CLOCK_BOOTTIME);
--- a/tests/streaming/event_framer_test.cpp
+++ b/tests/streaming/event_framer_test.cpp
@@ -31,7 +31,7 @@
 
 BOOST_AUTO_TEST_SUITE(event_framer)
 
-BOOST_AUTO_TEST_CASE(events_come_whole_however_the_bytes_are_cut) {
+BOOST_AUTO_TEST_CASE(events_are_complete_for_every_piece_size) {
   for (std::size_t size = 1; size <= kStream.size(); ++size) {
     EventFramer framer;
     const std::vector<Seen> seen = feed_in_pieces(framer, kStream, size);
@@ -44,7 +44,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(an_event_without_its_end_is_kept_back) {
+BOOST_AUTO_TEST_CASE(an_incomplete_event_is_buffered) {
   EventFramer framer;
   const std::vector<Seen> seen = feed_in_pieces(framer, "id: 1\ndata: a\n\nid: 2\ndata: b\n", 7);
   BOOST_TEST(seen.size() == 1U);
--- a/tests/streaming/stream_pace_test.cpp
+++ b/tests/streaming/stream_pace_test.cpp
@@ -16,7 +16,7 @@
 
 BOOST_AUTO_TEST_SUITE(stream_pace)
 
-BOOST_AUTO_TEST_CASE(the_time_between_events_is_taken_from_the_first_to_the_last) {
+BOOST_AUTO_TEST_CASE(mean_time_spans_the_first_to_the_last_event) {
   StreamPace pace;
   BOOST_TEST(!pace.begun());
   for (int event = 0; event <= 10; ++event) {
@@ -26,7 +26,7 @@
   BOOST_TEST((pace.step() == std::chrono::milliseconds(30)));
 }
 
-BOOST_AUTO_TEST_CASE(events_that_come_at_once_or_in_pieces_are_counted_once) {
+BOOST_AUTO_TEST_CASE(merged_and_split_events_are_counted_once) {
   StreamPace pace;
   pace.take(kEvent + kEvent, at(0));
   pace.take("id: 2\n", at(50));
@@ -36,7 +36,7 @@
   BOOST_TEST((pace.step() == std::chrono::milliseconds(30)));
 }
 
-BOOST_AUTO_TEST_CASE(a_short_stream_tells_nothing) {
+BOOST_AUTO_TEST_CASE(a_short_stream_has_no_mean_time) {
   StreamPace pace;
   pace.take(kEvent, at(0));
   pace.take(kEvent + kEvent, at(60));
