--- a/include/dockpoint/core/knobs.hpp
+++ b/include/dockpoint/core/knobs.hpp
@@ -111,7 +111,7 @@
   /// Maximum share of a service's replicas that outlier detection may exclude.
   double outlier_share = 0.34;
   /// A longer gap between two rounds, which are 50 ms apart, means that the process was paused.
-  Duration own_pause = 400ms;
+  Duration round_gap_limit = 400ms;
   /// How long a digest counts without a sign of life from its sender.
   Duration load_digest_lifetime = 1500ms;
   /// Interval between the digests of a node.
@@ -198,9 +198,9 @@
   /// Maximum replicas in one pace report.
   std::size_t pace_entries = 8;
   /// How long a pace report of another node counts.
-  Duration pace_word_lifetime = 15s;
+  Duration pace_report_lifetime = 15s;
   /// Maximum nodes whose pace reports are kept per replica.
-  std::size_t pace_words = 5;
+  std::size_t pace_report_sources = 5;
   /// A replica that rejected a request without stating its load is considered full for this long.
   Duration replica_full_time = 100ms;
 
@@ -310,7 +310,7 @@
   /// Maximum requests remembered.
   std::size_t crash_requests = 4096;
   /// Maximum crashes remembered per request.
-  std::size_t crash_ends = 8;
+  std::size_t crashes_per_request = 8;
   /// Connect timeout of a probe to a replica that may have crashed.
   Duration crash_probe_timeout = 300ms;
   /// Interval between crash probes.
--- a/src/admission/request_quarantine.cpp
+++ b/src/admission/request_quarantine.cpp
@@ -33,7 +33,7 @@
   const bool before = is_quarantined(entry, now);
   entry.batch = evidence.batch;
   entry.crashes[evidence.replica] = evidence.ended_at;
-  if (entry.crashes.size() > knobs_.crash_ends) {
+  if (entry.crashes.size() > knobs_.crashes_per_request) {
     const auto oldest = std::min_element(
         entry.crashes.begin(), entry.crashes.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; });
--- a/src/admission/tenant_rate_limiter.cpp
+++ b/src/admission/tenant_rate_limiter.cpp
@@ -223,7 +223,7 @@
   if (!tenant.rate.limited()) {
     return {};
   }
-  if (now - last_tick_ > knobs_.own_pause) {
+  if (now - last_tick_ > knobs_.round_gap_limit) {
     tick(now);
   }
   Account& account = account_of(tenant_key(tenant.name), tenant.rate, now);
@@ -339,7 +339,7 @@
   if (started_ == TimePoint{}) {
     started_ = now;
     buckets_empty_at_ = now;
-  } else if (now - last_tick_ > knobs_.own_pause) {
+  } else if (now - last_tick_ > knobs_.round_gap_limit) {
     reset_after_pause(now);
   }
   last_tick_ = now;
--- a/src/gateway/peer_link.cpp
+++ b/src/gateway/peer_link.cpp
@@ -77,7 +77,7 @@
 }
 
 void PeerLink::tick(TimePoint now) {
-  if (now - last_tick_ > context_.knobs.own_pause) {
+  if (now - last_tick_ > context_.knobs.round_gap_limit) {
     // This process was suspended, so the silence of other nodes proves nothing.
     silence_counts_from_ = now;
   }
--- a/src/log/keyed_watch.cpp
+++ b/src/log/keyed_watch.cpp
@@ -40,7 +40,7 @@
     return WatchState::kLost;
   }
   // Until its first tick after a pause the node has not detected the pause yet.
-  const bool paused = now - now_ > knobs_.own_pause;
+  const bool paused = now - now_ > knobs_.round_gap_limit;
   const bool overdue =
       paused || state_->unconfirmed || (state_->call_pending && now >= state_->overdue_at);
   return overdue ? WatchState::kOverdue : WatchState::kFollowing;
--- a/src/routing/replica_pace.cpp
+++ b/src/routing/replica_pace.cpp
@@ -103,7 +103,7 @@
       continue;
     }
     auto& peer_levels = found->second.peer_levels;
-    if (peer_levels.size() < knobs_.pace_words || peer_levels.contains(node)) {
+    if (peer_levels.size() < knobs_.pace_report_sources || peer_levels.contains(node)) {
       peer_levels[node] = {std::log(entry.step_us), now};
     }
   }
@@ -150,7 +150,7 @@
   std::map<std::uint32_t, PaceClass> before;
   for (auto& [key, known] : replicas_) {
     std::erase_if(known.peer_levels, [&](const auto& entry) {
-      return now - entry.second.received > knobs_.pace_word_lifetime;
+      return now - entry.second.received > knobs_.pace_report_lifetime;
     });
     before[key] = class_of(known);
     by_service[known.service].push_back(&known);
--- a/tests/admission/request_quarantine_test.cpp
+++ b/tests/admission/request_quarantine_test.cpp
@@ -177,7 +177,7 @@
   for (std::uint64_t replica = 0; replica < 1'000; ++replica) {
     record_crash(replica, std::chrono::milliseconds(replica));
   }
-  BOOST_TEST(quarantine.report(kRequest).evidence.size() == knobs.crash_ends);
+  BOOST_TEST(quarantine.report(kRequest).evidence.size() == knobs.crashes_per_request);
   BOOST_TEST(is_quarantined(1s));
 }
 
--- a/tests/routing/replica_pace_test.cpp
+++ b/tests/routing/replica_pace_test.cpp
@@ -228,7 +228,7 @@
   other.paces.add_peer_paces(78, {peer_entry(9, 1.6), peer_entry(5, 1), peer_entry(4, 1)}, at(0));
   other.paces.update(at(0));
   BOOST_TEST(other.paces.usual(9) > 1.5);
-  other.paces.update(at(0) + other.knobs.pace_word_lifetime * 2);
+  other.paces.update(at(0) + other.knobs.pace_report_lifetime * 2);
   BOOST_TEST(other.paces.usual(9) == 1.0);
 }
 
