--- a/include/dockpoint/config/routing_configuration.hpp
+++ b/include/dockpoint/config/routing_configuration.hpp
@@ -39,9 +39,9 @@
   bool resumable = false;                 ///< A broken stream may resume on another replica.
   Duration timeout{};                     ///< Maximum time that a request is held.
   Duration target{};                      ///< Latency objective: to the answer or the first event.
-  Duration gap_target{};                  ///< Latency objective: pause between two events.
-  Duration completion_target{};           ///< Batch: from submission to the last result.
-  Duration retention{};                   ///< Batch: items may be abandoned after this time.
+  Duration gap_target{};          ///< Longest pause between events that meets the objective.
+  Duration completion_target{};   ///< Batch: from submission to the last result.
+  Duration retention{};           ///< Batch: items may be abandoned after this time.
   double max_waiting_tokens = 0;  ///< Batch: of a tenant's unfinished items, over all nodes; 0: no
                                   ///< limit. Without tenants, of all callers together.
 
@@ -55,10 +55,10 @@
 struct ReplicaServiceConfig {
   std::string name;
   std::string health_path;
-  int maximum_connections = 0;     ///< Per replica, over all callers; 0: unknown.
+  int maximum_connections = 0;     ///< Accepted by a replica from all callers; 0: unknown.
   int slots = 0;                   ///< Concurrent requests of a replica; 0: unknown.
-  std::uint64_t cache_tokens = 0;  ///< Cache size of a replica; 0: not a model engine.
-  double cold_per_second = 0;      ///< Requests that a cold replica handles; 0: no stated limit.
+  std::uint64_t cache_tokens = 0;  ///< Cache capacity of a replica; 0: not a model engine.
+  double cold_per_second = 0;      ///< Request rate of a cold replica; 0: no stated limit.
 };
 
 /// What callers may send and how long connections may take.
--- a/include/dockpoint/core/knobs.hpp
+++ b/include/dockpoint/core/knobs.hpp
@@ -32,6 +32,7 @@
   std::size_t updates_per_message = 24;
   /// An update is retransmitted this many times log2(members).
   int update_retransmissions = 3;
+  /// Maximum members in one message of a full exchange.
   std::size_t sync_members_per_message = 16;
 
   // Engines.
@@ -48,6 +49,7 @@
   int ejection_failures = 3;
   /// Duration of the first ejection; doubled at each further ejection.
   Duration ejection_time = 5s;
+  /// Upper limit of `ejection_time` after doubling.
   Duration ejection_time_limit = 60s;
 
   // Pauses of the whole process.
@@ -57,6 +59,7 @@
   Duration pause_hold = 1s;
 
   // Online requests.
+  /// Maximum attempts of one online request.
   int maximum_attempts = 3;
   /// Retries allowed before the first success.
   double retry_budget_reserve = 5;
@@ -66,7 +69,9 @@
   double affinity_load_bound = 1.25;
   /// Service time estimate before the first completion.
   Duration initial_service_time = 1s;
+  /// Minimum retry delay given to callers.
   Duration minimum_retry_after = 1s;
+  /// Maximum retry delay given to callers.
   Duration maximum_retry_after = 30s;
 
   // Batch.
@@ -84,9 +89,11 @@
   int maximum_item_attempts = 20;
   /// Delay before the first retry of an item; doubled per attempt up to `item_retry_delay_limit`.
   Duration item_retry_delay = 500ms;
+  /// Upper limit of `item_retry_delay` after doubling.
   Duration item_retry_delay_limit = 10s;
   /// Records between checkpoints of a partition.
   std::uint64_t checkpoint_records = 20'000;
+  /// Maximum bytes of one chunk of a checkpoint.
   std::size_t checkpoint_chunk_bytes = 512 * 1024;
 
   // Replicas, as the gateway sees them.
@@ -101,6 +108,7 @@
   int silence_objectives = 3;
   /// Duration of the first ejection of a replica; doubled at each further ejection.
   Duration replica_ejection_time = 500ms;
+  /// Upper limit of `replica_ejection_time` after doubling.
   Duration replica_ejection_time_limit = 8s;
   /// Decay time of failures: after it a failure counts for one third.
   Duration failure_memory = 6s;
@@ -342,6 +350,7 @@
   Duration watch_pause = 200ms;
   /// Delay after a failed write; doubled per failure, with jitter.
   Duration log_retry_delay = 150ms;
+  /// Upper limit of `log_retry_delay` after doubling.
   Duration log_retry_delay_limit = 1200ms;
   /// A write without an answer is sent again (hedged) after this time; each further call waits
   /// twice as long.
