--- a/include/dockpoint/node/placement.hpp
+++ b/include/dockpoint/node/placement.hpp
@@ -9,23 +9,24 @@
 
 namespace dockpoint {
 
-/// Who should own each partition and which engines this node is the steward of, by rendezvous
-/// hashing over the live nodes. Every node computes the same from the same members, so nothing is
-/// agreed on; while views differ, the log decides who owns a partition, and two stewards of one
-/// engine cost a few polls. Not thread-safe; borrows both references.
+/// Computes the preferred owner of each partition and the engines that this node stewards, by
+/// rendezvous hashing over the live nodes. Nodes with the same membership view compute the same
+/// placement, so no agreement protocol is needed. While views differ, the log decides who owns a
+/// partition, and two stewards of one engine only cost a few extra polls. Not thread-safe; borrows
+/// both references.
 class Placement {
  public:
   Placement(const Membership& membership, const EngineTable& engines);
 
-  /// Computes anew if members, engines or partitions changed since the last call.
-  /// @param revision of the configuration in force; 0: none yet.
-  /// @param draining whether this node takes no partitions.
+  /// Recomputes the placement if members, engines or partitions changed since the last call.
+  /// @param revision revision of the active configuration; 0 if there is none yet.
+  /// @param draining whether this node is excluded from partition ownership.
   void refresh(std::uint64_t revision, int partitions, bool draining);
 
-  /// @return the node that should own the partition, or null if nobody can.
+  /// @return the preferred owner of the partition, or null if no node is eligible.
   const Member* preferred_owner(int partition) const;
 
-  /// @return the engines that this node is the steward of.
+  /// @return the engines that this node stewards.
   const std::vector<std::string>& stewarded_engines() const { return stewarded_engines_; }
 
  private:
@@ -34,7 +35,7 @@
   std::uint64_t membership_version_ = 0;
   std::uint64_t revision_ = 0;
   bool draining_ = false;
-  std::vector<std::string> owners_;  ///< Node ids by partition; empty: nobody can.
+  std::vector<std::string> owners_;  ///< Node ids by partition; empty if no node is eligible.
   std::vector<std::string> stewarded_engines_;
 };
 
--- a/src/files/file_store.cpp
+++ b/src/files/file_store.cpp
@@ -37,7 +37,7 @@
   return static_cast<int>(random() % kFileStreams);
 }
 
-/// Reads `file-STREAM-OFFSET`.
+/// Parses a file id of the form `file-STREAM-OFFSET`.
 Result<FileAddress> parse_id(const std::string& id) {
   int stream = -1;
   Offset offset = 0;
@@ -54,7 +54,7 @@
   return fail(ResultCode::kNotFound, "no such file: " + id, "id");
 }
 
-/// Collects lines and checks what they must have in common.
+/// Collects lines and validates the properties that all of them must share.
 class InputChecker {
  public:
   Result<void> check(const std::string& line, ItemIndex number) {
@@ -213,7 +213,8 @@
 }
 
 Result<std::uint64_t> FileStore::append(const std::string& stream, const std::string& record) {
-  // A chunk that is appended twice, after a lost answer, is garbage that no manifest names.
+  // If the answer to an append is lost, the retry appends the chunk again; no manifest refers to
+  // the first copy.
   for (int attempt = 1; attempt < kAppendAttempts; ++attempt) {
     std::optional<std::uint64_t> offset;
     const std::optional<Error> error = error_of([&]() -> Result<void> {
--- a/src/files/file_store.hpp
+++ b/src/files/file_store.hpp
@@ -13,21 +13,21 @@
 #include "dockpoint/batch/records.hpp"
 #include "log/log_client.hpp"
 
-/// Uploaded files, kept in the platform's log.
+/// Uploaded files, stored in the platform's log.
 ///
 /// A file is a sequence of chunk records and a manifest record in one of a fixed number of streams.
-/// Its id names the stream and the manifest's offset, so any node can read any file without an
-/// index, and nothing is kept between requests.
+/// The file id contains the stream and the manifest's offset, so any node can read any file without
+/// an index or state kept between requests.
 namespace dockpoint {
 
-/// What a batch input file holds, beyond its bytes.
+/// Metadata of a batch input file.
 struct FileManifest {
   std::string filename;
   std::uint64_t bytes = 0;
   ItemIndex items = 0;
   UnixSeconds created_at = 0;
-  std::string model;                   ///< Named by every item.
-  std::string endpoint;                ///< Path of every item.
+  std::string model;                   ///< The same for every item.
+  std::string endpoint;                ///< Request path, the same for every item.
   std::vector<Offset> chunks;          ///< Offsets of the chunk records.
   std::vector<ItemIndex> chunk_items;  ///< First item of each chunk.
   DOCKPOINT_FIELDS(filename, bytes, items, created_at, model, endpoint, chunks, chunk_items)
@@ -42,27 +42,27 @@
   std::string body;  ///< JSON to send to the engine.
 };
 
-/// Parses one line; the error names the field.
+/// Parses one line of a batch input file. An error names the invalid field.
 Result<BatchFileItem> parse_batch_item(const std::string& line);
 
-/// Reads and writes files. Thread-safe; calls block on the log.
+/// Reads and writes files. Thread-safe; calls block on log I/O. Borrows the log client.
 class FileStore {
  public:
   explicit FileStore(LogClient& log) : log_(log) {}
 
-  /// Writes the lines of `in` as a batch input file, checking each.
-  /// @param maximum_bytes over which the file is refused.
-  /// @return its id.
+  /// Validates each line of `in` and writes the lines as a batch input file.
+  /// @param maximum_bytes size limit; larger files are rejected.
+  /// @return the file id.
   Result<std::string> write(std::istream& in, const std::string& filename,
                             std::uint64_t maximum_bytes, UnixSeconds now);
 
-  /// @return the manifest, or not found.
+  /// @return the manifest, or a not-found error.
   Result<FileManifest> manifest(const std::string& id);
 
   /// @return the line of one item.
   Result<std::string> read_line(const std::string& id, ItemIndex item);
 
-  /// Passes every chunk's lines on, in order.
+  /// Calls `consume` with the lines of each chunk, in order.
   Result<void> read_all(const std::string& id,
                         const std::function<void(const std::vector<std::string>&)>& consume);
 
--- a/src/node/configuration_follower.cpp
+++ b/src/node/configuration_follower.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t kConfigurationPageRecords = 100;
 constexpr std::chrono::milliseconds kConfigurationReadWait{500};
 constexpr std::chrono::milliseconds kConfigurationRetryPause{200};
-/// A log that has not answered for so long counts as out of reach.
+/// The log counts as unreachable after this long without an answer.
 constexpr std::chrono::seconds kUnreachableAfter{2};
 
 }  // namespace
--- a/src/node/item_registry.hpp
+++ b/src/node/item_registry.hpp
@@ -10,24 +10,25 @@
 
 namespace dockpoint {
 
-/// The batch items that this node has taken on to send, from the order until the end. An item that
-/// is cancelled while it waits for a thread is never sent. Thread-safe.
+/// Tracks the batch items that this node dispatches, from the dispatch until the outcome. An item
+/// that is cancelled while it waits for a sender thread is never sent. Thread-safe.
 class ItemRegistry {
  public:
-  /// A request under way at an engine.
+  /// A request in flight at an engine.
   struct Sent {
     std::string engine_address;
     std::string request_id;
   };
 
-  /// Notes an item that waits to be sent. @return false if it is noted already.
+  /// Registers an item that is queued for sending. @return false if it is already registered.
   bool add(const ItemDispatch& item);
-  /// The item is about to be sent. @return false if it was cancelled while it waited; it must not
-  /// be sent then.
+  /// Marks the item as sent; call right before sending. @return false if it was cancelled while
+  /// queued; it must not be sent then.
   bool begin(const ItemDispatch& item, const Sent& sent);
-  /// Forgets the item. @return whether it was cancelled meanwhile.
+  /// Removes the item. @return whether it was cancelled in the meantime.
   bool finish(const ItemDispatch& item);
-  /// @return what the engine has to be told to stop, or nothing.
+  /// Marks the item as cancelled.
+  /// @return the request to cancel at the engine, or nothing if none was sent.
   std::optional<Sent> cancel(int partition, const std::string& job, ItemIndex item);
 
  private:
--- a/src/node/machine_list_poller.cpp
+++ b/src/node/machine_list_poller.cpp
@@ -33,7 +33,7 @@
   const TimePoint started = monotonic_now();
   const HttpOutcome outcome = exchange(sessions_, request);
   if (!outcome.answer || outcome.answer->status != 200) {
-    return;  // The last list stays in force.
+    return;  // Keep using the last list that was read.
   }
   const std::optional<Error> error = error_of([&]() -> Result<void> {
     BOOST_LEAF_AUTO(machines, parse_machine_list(outcome.answer->body));
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -27,7 +27,7 @@
          static_cast<double>(used.tv_nsec) / kNanosecondsPerSecond;
 }
 
-/// Reads the second field of /proc/self/statm, in pages.
+/// Reads the resident set size in pages: the second field of /proc/self/statm.
 double resident_bytes() {
   std::ifstream file("/proc/self/statm");
   long total_pages = 0;
@@ -36,7 +36,7 @@
   return static_cast<double>(resident_pages * sysconf(_SC_PAGESIZE));
 }
 
-/// Values that live on the control thread, read in one go.
+/// Snapshot of values owned by the control thread, taken in a single call.
 struct ControlValues {
   OnlineCounts online;
   double waiting = 0;
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -15,7 +15,7 @@
 constexpr int kLargestFile = 2'000'000'000;
 const std::vector<std::string> kLogLevels{"debug", "info", "warn", "error"};
 
-/// Puts a flag's text into the document, as the type that the key has.
+/// Stores a flag's value in the document, converted to the type of its key.
 void put_override(Poco::JSON::Object::Ptr root, const std::string& key, const std::string& text) {
   const std::size_t dot = key.find('.');
   Poco::JSON::Object::Ptr section = root;
--- a/src/supervisor/supervisor.hpp
+++ b/src/supervisor/supervisor.hpp
@@ -13,7 +13,7 @@
 
 namespace dockpoint {
 
-/// A part of a process that runs in a thread of its own until it is told to stop.
+/// A component that runs in its own thread until a stop is requested.
 class Part {
  public:
   explicit Part(std::string name) : name_(std::move(name)) {}
@@ -21,7 +21,7 @@
   Part(const Part&) = delete;
   Part& operator=(const Part&) = delete;
 
-  /// Runs until `stop` is requested. Returning earlier or throwing is a failure.
+  /// Runs until `stop` is requested. Returning earlier or throwing counts as a failure.
   virtual void run(std::stop_token stop) = 0;
 
   const std::string& name() const { return name_; }
@@ -30,32 +30,33 @@
   const std::string name_;
 };
 
-/// Waits until `stop` is requested, or until `time` has passed if that is sooner.
+/// Blocks until `stop` is requested or `time` has elapsed, whichever comes first.
 void wait_until_stopped(std::stop_token stop,
                         std::chrono::milliseconds time = std::chrono::hours(24 * 365));
 
 using PartPtr = std::shared_ptr<Part>;
 
-/// How often parts may fail before their supervisor gives up.
+/// Restart intensity: the supervisor gives up after more than `restarts` restarts within `window`.
 struct RestartLimits {
   int restarts = 5;
   std::chrono::milliseconds window{30'000};
-  std::chrono::milliseconds pause{100};  ///< Before a part is started again.
+  std::chrono::milliseconds pause{100};  ///< Delay before a restart.
 };
 
-/// A supervisor gave up, which its own supervisor takes as a failure.
+/// Thrown when a supervisor exceeds its restart limits; a parent supervisor handles it as a failure
+/// of that child.
 class SupervisorGaveUp : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// Starts parts in order, restarts each that fails alone, and stops them in reverse order, each
-/// before the one it was started after. Supervisors nest: a supervisor is a part.
+/// Starts its parts in order, restarts only the part that failed (one-for-one), and stops all parts
+/// in reverse start order. A supervisor is itself a part, so supervisors form a tree.
 class Supervisor : public Part {
  public:
   Supervisor(std::string name, RestartLimits limits);
 
-  /// Adds a part; only before `run`.
+  /// Adds a part. Must not be called after `run`.
   void add(PartPtr part);
 
   void run(std::stop_token stop) override;
--- a/src/supervisor/task_pool.hpp
+++ b/src/supervisor/task_pool.hpp
@@ -9,18 +9,18 @@
 
 namespace dockpoint {
 
-/// A part that runs short blocking tasks on a fixed number of threads.
+/// Runs short blocking tasks on a fixed number of threads, with a bounded queue.
 class TaskPool : public Part {
  public:
   using Task = std::function<void()>;
 
-  /// @param limit tasks that may wait; more are refused.
+  /// @param limit maximum number of queued tasks; further tasks are rejected.
   TaskPool(std::string name, int threads, std::size_t limit);
 
-  /// @return false if too many tasks wait; then the task is dropped.
+  /// @return false if the queue is full; the task is then dropped.
   bool submit(Task task);
 
-  /// Ends when told to; tasks that still wait are dropped.
+  /// Runs until `stop` is requested; tasks still queued then are dropped.
   void run(std::stop_token stop) override;
 
   std::size_t waiting() const;
--- a/src/transport/datagram_transport.cpp
+++ b/src/transport/datagram_transport.cpp
@@ -33,7 +33,7 @@
                    Poco::Net::SocketAddress(parsed->host, parsed->port));
     sent_bytes_ += bytes.size();
   } catch (const Poco::Exception&) {
-    ++dropped_;  // A datagram may be lost at any time; the protocol allows for it.
+    ++dropped_;  // The protocol tolerates the loss of any datagram.
   }
 }
 
@@ -49,7 +49,7 @@
       Poco::Net::SocketAddress sender;
       length = socket_.receiveFrom(buffer.data(), static_cast<int>(buffer.size()), sender);
     } catch (const Poco::Net::ConnectionRefusedException&) {
-      continue;  // An earlier datagram reached a port that nobody listens on.
+      continue;  // ICMP port unreachable for an earlier datagram.
     }
     received_bytes_ += static_cast<std::uint64_t>(length);
     auto message = decode_peer_message({buffer.data(), static_cast<std::size_t>(length)});
--- a/src/transport/datagram_transport.hpp
+++ b/src/transport/datagram_transport.hpp
@@ -10,7 +10,7 @@
 
 namespace dockpoint {
 
-/// Sends and receives the datagrams between nodes over UDP. `send` may be called from any thread.
+/// Exchanges messages between nodes as UDP datagrams. `send` may be called from any thread.
 class DatagramTransport : public Part {
  public:
   using Receive = std::function<void(PeerMessage)>;
--- a/tests/supervisor/supervisor_test.cpp
+++ b/tests/supervisor/supervisor_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Runs until told to stop; fails the first `failures` times.
+/// Throws on the first `failures` starts, then runs until a stop is requested.
 class FlakyPart : public Part {
  public:
   FlakyPart(std::string name, int failures, std::vector<std::string>* stopped)
@@ -49,7 +49,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(supervisor, Fixture)
 
-BOOST_AUTO_TEST_CASE(a_failed_part_is_restarted_alone_and_all_stop_in_reverse) {
+BOOST_AUTO_TEST_CASE(only_the_failed_part_restarts_and_parts_stop_in_reverse_order) {
   auto first = std::make_shared<FlakyPart>("first", 0, &stopped);
   auto second = std::make_shared<FlakyPart>("second", 2, &stopped);
   Supervisor root("root", RestartLimits{5, 60'000ms, 1ms});
@@ -63,7 +63,7 @@
   BOOST_TEST((stopped == std::vector<std::string>{"second", "first"}));
 }
 
-BOOST_AUTO_TEST_CASE(a_supervisor_gives_up_and_its_own_supervisor_takes_over) {
+BOOST_AUTO_TEST_CASE(exceeding_restart_limits_escalates_to_the_parent_supervisor) {
   auto steady = std::make_shared<FlakyPart>("steady", 0, &stopped);
   auto broken = std::make_shared<FlakyPart>("broken", 1000, &stopped);
   auto inner = std::make_shared<Supervisor>("inner", RestartLimits{2, 60'000ms, 1ms});
@@ -73,12 +73,12 @@
   root.add(inner);
   std::stop_source never;
   BOOST_CHECK_THROW(root.run(never.get_token()), SupervisorGaveUp);
-  // Three starts in the first life of the inner supervisor. Its second life counts on.
+  // Three starts in the first run of the inner supervisor; its second run adds at least one.
   BOOST_TEST(broken->starts >= 4);
   BOOST_TEST((stopped == std::vector<std::string>{"steady"}));
 }
 
-BOOST_AUTO_TEST_CASE(a_task_pool_runs_tasks_and_refuses_what_is_too_much) {
+BOOST_AUTO_TEST_CASE(task_pool_runs_tasks_and_rejects_them_when_the_queue_is_full) {
   TaskPool pool("pool", 2, 3);
   std::atomic<int> done{0};
   for (int task = 0; task < 3; ++task) {
