--- a/include/dockpoint/node/node_controller.hpp
+++ b/include/dockpoint/node/node_controller.hpp
@@ -15,53 +15,53 @@
 #include "dockpoint/node/placement.hpp"
 #include "dockpoint/routing/online_dispatcher.hpp"
 
-/// All decisions of one node, without I/O, threads or clocks: what the daemon's control thread, the
-/// simulator and embedders run.
+/// Decision logic of one node, free of I/O, threads and clocks. It is run by the daemon's control
+/// thread, the simulator and embedders.
 ///
-/// Events come in as calls that carry `now`; effects go out through `NodeActions`. Nothing here
-/// blocks, so one thread is enough for the state of one node.
+/// Events arrive as calls that carry `now`; effects are requested through `NodeActions`. No call
+/// blocks, so a single thread can own the state of a node.
 namespace dockpoint {
 
-/// Effects of a node's decisions; must not block or call back.
+/// Effects of a node's decisions. Implementations must neither block nor call the controller back.
 class NodeActions : public PeerSender, public OnlineActions, public PartitionActions {
  public:
-  /// Appends to the configuration stream until the log confirms.
+  /// Appends to the configuration stream, retrying until the log confirms.
   virtual void append_configuration(const ConfigurationChange& change) = 0;
-  /// Asks a peer for the revision in force there; ends in `configuration_fetched`.
+  /// Requests a peer's active revision; the result arrives as `configuration_fetched`.
   virtual void fetch_configuration(const std::string& api_address) = 0;
-  /// Asks an engine for its load; ends in `load_polled` if it answers.
+  /// Requests an engine's load; a response arrives as `load_polled`.
   virtual void poll_load(const std::string& engine, const std::string& address) = 0;
-  /// Sends a batch item; ends in `item_ended`.
+  /// Sends a batch item; the outcome arrives as `item_ended`.
   virtual void dispatch_item(const ItemDispatch& item) = 0;
-  /// Stops a batch item on its engine; `item_ended` still follows.
+  /// Cancels a batch item at its engine; `item_ended` still follows.
   virtual void cancel_item(int partition, const std::string& job, ItemIndex item) = 0;
 };
 
 /// One entry of the platform's machine list.
 struct MachineEntry {
-  std::string address;  ///< Of an engine, or of a node's datagrams.
+  std::string address;  ///< Address of an engine, or a node's datagram address.
   bool is_node = false;
   bool leaving = false;
 };
 
-/// Told what became of a proposed configuration.
+/// Called with the outcome of a proposed configuration change.
 using ChangeConfirmation = std::function<void(const ChangeOutcome&)>;
 
-/// What the node says about a job's owner to those who ask here.
+/// Owner of a partition as this node knows it, used to redirect requests.
 struct OwnerHint {
   bool is_self = false;
-  std::string api_address;  ///< Empty: no owner is known now.
+  std::string api_address;  ///< Empty if no owner is known.
 };
 
-/// One partition that a node follows, for operators.
+/// Status of a followed partition, for operators.
 struct PartitionStatus {
   int partition = 0;
   Epoch epoch = 0;
-  std::string owner;      ///< As folded; empty: none.
-  std::string preferred;  ///< Who should own it; empty: nobody can.
+  std::string owner;      ///< Owner according to the applied records; empty if none.
+  std::string preferred;  ///< Preferred owner by placement; empty if no node is eligible.
   bool owned_here = false;
-  bool caught_up = false;  ///< The stream was read to its tail.
-  bool quiescent = false;  ///< Nothing under way, everything confirmed.
+  bool caught_up = false;  ///< The stream has been read to its tail.
+  bool quiescent = false;  ///< Nothing in flight and every record confirmed.
   Offset next_offset = 0;
 };
 
@@ -70,7 +70,7 @@
   Member self;                     ///< `incarnation` must be unique for each run.
   std::vector<std::string> seeds;  ///< Peer addresses to contact first.
   std::uint64_t random_seed = 0;
-  int maximum_batch_in_flight = 64;  ///< Items that this node sends at once.
+  int maximum_batch_in_flight = 64;  ///< Limit on batch items in flight from this node.
 };
 
 /// See the top of this file. Not thread-safe; borrows the actions.
@@ -78,15 +78,15 @@
  public:
   NodeController(NodeOptions options, NodeActions& actions);
 
-  /// Drives everything that depends on time; call every 50 ms or so.
-  /// @param wall_clock for times that are stored in records.
+  /// Runs all time-driven work; call about every 50 ms.
+  /// @param wall_clock time stored in records.
   void tick(TimePoint now, UnixSeconds wall_clock);
 
-  // Events from outside.
+  // External events.
   void peer_message(const PeerMessage& message, TimePoint now);
   void configuration_read(Offset first, const std::vector<std::string>& records, TimePoint now);
   void configuration_fetched(const ConfigurationRevision& revision, TimePoint now);
-  /// @param read_started when the list was asked for.
+  /// @param read_started time at which the list was requested.
   void machines_listed(const std::vector<MachineEntry>& machines, TimePoint read_started,
                        TimePoint now);
   void load_polled(const std::string& engine, const EngineLoad& load, TimePoint now);
@@ -94,37 +94,38 @@
   void checkpoint_loaded(int partition, const std::optional<std::string>& snapshot);
   void partition_read(int partition, Offset first, const std::vector<std::string>& records,
                       bool at_tail, TimePoint read_started, TimePoint now);
-  /// @return the offset from which to read the partition's stream on.
+  /// @return the offset from which to continue reading the partition's stream.
   Offset next_offset(int partition) const;
   void item_ended(const ItemOutcome& outcome, TimePoint now, UnixSeconds wall_clock);
 
-  // Callers' and operators' requests.
+  // Requests of callers and operators.
   void submit_online(OnlineRequest request, TimePoint now);
   void online_attempt_ended(RequestNumber request, AttemptEnd end, TimePoint now);
-  /// @return nothing if the record is on its way to the log, or why it is not.
+  /// @return nothing if the record was submitted to the log, otherwise the error.
   std::optional<Error> accept_job(JobSpec job, TimePoint now, RecordConfirmation confirmation);
   std::optional<Error> cancel_job(const std::string& job, TimePoint now, UnixSeconds wall_clock,
                                   RecordConfirmation confirmation);
   std::optional<Error> record_online_attempt(const AttemptTicket& ticket, TimePoint now,
                                              RecordConfirmation confirmation);
-  /// Frees the key of an attempt that certainly did not run.
-  /// @return whether this node owns the key's partition and has written it down.
+  /// Releases the key of an attempt that is known not to have run.
+  /// @return whether this node owns the key's partition and has recorded the withdrawal.
   bool withdraw_online_attempt(const AttemptTicket& ticket, TimePoint now);
-  /// @return the job if this node follows its partition to the tail, or null.
+  /// @return the job if this node has caught up with its partition, otherwise null.
   const JobState* find_job(const std::string& job) const;
-  /// @return the tenant's jobs in the partitions that this node owns; all tenants' if empty.
+  /// @return the tenant's jobs in the partitions owned by this node; jobs of all tenants if
+  /// `tenant` is empty.
   std::vector<const JobState*> jobs_of(const std::string& tenant) const;
   void propose_configuration(ConfigurationChange change, ChangeConfirmation confirmation);
   OwnerHint owner_of(int partition) const;
 
-  /// Stops taking batch work and gives partitions up; online requests go on until they end.
+  /// Stops accepting batch work and releases partitions; online requests run to completion.
   void begin_drain();
-  /// @return whether nothing is under way and nothing is owned.
+  /// @return whether no work is in flight and no partition is owned.
   bool drained() const;
-  /// Tells the other nodes that this one leaves.
+  /// Announces to the other nodes that this node leaves.
   void leave() { membership_.leave(); }
 
-  // Views for the HTTP interface and metrics.
+  // Read access for the HTTP interface and metrics.
   const ConfigurationFold& configuration() const { return configuration_; }
   const EngineTable& engines() const { return engines_; }
   const Membership& membership() const { return membership_; }
@@ -137,7 +138,8 @@
 
  private:
   void configuration_changed(TimePoint now);
-  /// Notices that the process was paused: what it knows is old, above all who is leaving.
+  /// Detects that the process was paused, which makes its state stale, in particular the list of
+  /// leaving machines.
   void notice_time(TimePoint now);
   bool held(TimePoint now) const { return now < held_until_; }
   void update_partitions(TimePoint now, UnixSeconds wall_clock);
--- a/src/node/action_executor.hpp
+++ b/src/node/action_executor.hpp
@@ -10,11 +10,10 @@
 
 namespace dockpoint {
 
-/// Carries out the control thread's decisions by handing them to other threads. Every call returns
-/// at once.
+/// Executes the control thread's decisions by handing them to other threads. No call blocks.
 class ActionExecutor : public NodeActions {
  public:
-  /// The parts that do the work; all outlive the executor.
+  /// The components that do the work. Not owned; all must outlive the executor.
   struct Parts {
     DatagramTransport& datagrams;
     OnlineCalls& online_calls;
@@ -24,7 +23,7 @@
     TaskPool& tasks;
   };
 
-  /// @param writer unique for each run of each node.
+  /// @param writer writer id, unique for each run of each node.
   ActionExecutor(const Parts& parts, const Knobs& knobs, std::uint64_t writer);
 
   /// Must be called before the control loop runs.
--- a/src/node/batch_sender.hpp
+++ b/src/node/batch_sender.hpp
@@ -10,10 +10,10 @@
 
 namespace dockpoint {
 
-/// Sends batch items to engines from its own threads and reports how each ended.
+/// Sends batch items to engines from its own threads and reports the outcome of each item.
 class BatchSender {
  public:
-  /// @param threads items sent at once.
+  /// @param threads number of threads, and thus of items in flight.
   BatchSender(FileStore& files, int threads);
 
   /// Must be called before the first `send`.
@@ -21,7 +21,7 @@
 
   void send(const ItemDispatch& item);
 
-  /// Stops an item: it is not sent, or its engine is told to stop it.
+  /// Cancels an item: a queued item is never sent, an item in flight is cancelled at its engine.
   void cancel(int partition, const std::string& job, ItemIndex item);
 
   /// @return the part that runs the threads.
--- a/src/node/configuration_follower.hpp
+++ b/src/node/configuration_follower.hpp
@@ -8,7 +8,7 @@
 /// Name of the stream on which operators publish configuration.
 inline constexpr const char* kConfigurationStream = "configuration";
 
-/// Reads the configuration stream and tells the control thread whether the log can be reached.
+/// Reads the configuration stream and reports to the control thread whether the log is reachable.
 class ConfigurationFollower : public Part {
  public:
   ConfigurationFollower(LogClient& log, ControlLoop& control);
--- a/src/node/control_loop.hpp
+++ b/src/node/control_loop.hpp
@@ -14,24 +14,25 @@
 
 namespace dockpoint {
 
-/// @return the steady clock, as the decision logic counts time.
+/// @return the time of the steady clock, as used by the decision logic.
 TimePoint monotonic_now();
 
 /// @return seconds since the Unix epoch.
 UnixSeconds unix_now();
 
-/// The control thread: the only one that touches the `NodeController`. Other threads post events
-/// and queries, which run there one after another.
+/// The control thread, the only thread that accesses the `NodeController`. Other threads post
+/// events and queries, which it runs one at a time.
 class ControlLoop : public Part {
  public:
   using Event = std::function<void(NodeController&, TimePoint now)>;
 
   explicit ControlLoop(std::unique_ptr<NodeController> controller);
 
-  /// Runs `event` on the control thread, some time.
+  /// Enqueues `event` to run on the control thread; returns immediately.
   void post(Event event);
 
-  /// Runs `query` on the control thread and waits for its value. Must not be called from there.
+  /// Runs `query` on the control thread and waits for the result. Must not be called from the
+  /// control thread.
   template <class Query>
   auto call(Query query) -> decltype(query(std::declval<NodeController&>(), TimePoint{})) {
     using Value = decltype(query(std::declval<NodeController&>(), TimePoint{}));
@@ -46,7 +47,7 @@
 
   std::size_t mailbox_length() const;
 
-  /// @return CPU time that the control thread has used.
+  /// @return CPU time consumed by the control thread.
   std::chrono::microseconds cpu_time() const { return std::chrono::microseconds(cpu_us_.load()); }
 
  private:
--- a/src/node/controller/node_controller.cpp
+++ b/src/node/controller/node_controller.cpp
@@ -8,7 +8,7 @@
 namespace dockpoint {
 namespace {
 
-/// A peer's newer configuration is asked for at most this often.
+/// Minimum interval between requests for a peer's newer configuration.
 constexpr Duration kFetchInterval = 300ms;
 
 }  // namespace
@@ -134,7 +134,7 @@
   }
   membership_.set_candidates(candidates);
   engines_.set_leaving_addresses(leaving_engines);
-  // A read that was under way during the pause brings old news.
+  // A list requested before the pause was detected may be stale.
   if (read_started >= pause_noticed_) {
     held_until_ = TimePoint{};
     online_.resume(now);
@@ -177,10 +177,10 @@
     const std::optional<TimePoint> since = membership_.alive_since(preferred->id);
     view.preferred_settled = draining_ || (since && now - *since >= options_.knobs.handover_delay);
   }
-  // With nobody to take over, a draining node still gives its partitions up.
+  // A draining node releases its partitions even if no node can take them over.
   view.preferred_settled = view.preferred_settled || draining_;
-  // The owner is a process, not a name: a node that was restarted does not know that its former
-  // self owned the partition.
+  // Ownership belongs to one run of a node: a restarted node does not know that its previous run
+  // owned the partition.
   const PartitionState& state = partition.state();
   const std::vector<const Member*> eligible = membership_.eligible_owners();
   view.owner_alive = std::any_of(eligible.begin(), eligible.end(), [&](const Member* member) {
@@ -223,7 +223,7 @@
   if (followed != partitions_.end() && followed->second->owned()) {
     return {true, {}};
   }
-  // A follower knows the folded owner; others ask whoever should own the partition.
+  // A caught-up follower knows the owner from the records; otherwise assume the preferred owner.
   const Member* owner = followed != partitions_.end() && followed->second->caught_up()
                             ? membership_.find(followed->second->state().owner())
                             : placement_.preferred_owner(partition);
--- a/src/node/daemon.hpp
+++ b/src/node/daemon.hpp
@@ -9,7 +9,7 @@
 
 namespace dockpoint {
 
-/// One node: builds every part, connects them and runs them under a supervisor tree:
+/// One node: creates and connects all parts and runs them under a supervisor tree:
 ///
 ///     dockpointd
 ///     ├── platform: log-writer, partition-followers, configuration-follower, machine-list
@@ -21,18 +21,19 @@
   explicit Daemon(const Settings& settings);
   ~Daemon();
 
-  /// Starts all parts. @return when they run or one could not start.
+  /// Starts all parts. Returns when all are running or one failed to start.
   void start();
 
-  /// Takes no new work, finishes what is in progress, hands over and leaves.
-  /// @param give_up checked often; ends the wait early when it returns true.
-  /// @return requests and items that were cut off; 0 if the drain was complete.
+  /// Drains the node: accepts no new work, finishes work in progress, hands its partitions over and
+  /// leaves the membership.
+  /// @param give_up polled during the drain; aborts the wait when it returns true.
+  /// @return number of requests and items that were aborted; 0 if the drain completed.
   int drain(const std::function<bool()>& give_up);
 
   /// Stops all parts in reverse order.
   void stop();
 
-  /// @return whether an operator asked for a drain, or the supervisor tree gave up.
+  /// @return whether an operator requested a drain or the supervisor tree gave up.
   bool drain_requested() const { return api_->drain_requested(); }
   bool failed() const { return failed_; }
 
--- a/src/node/machine_list_poller.hpp
+++ b/src/node/machine_list_poller.hpp
@@ -21,7 +21,7 @@
   HttpSessionPool sessions_;
 };
 
-/// Parses the list's answer.
+/// Parses the body of a `GET /machines` response.
 Result<std::vector<MachineEntry>> parse_machine_list(const std::string& json);
 
 }  // namespace dockpoint
--- a/src/node/metrics.hpp
+++ b/src/node/metrics.hpp
@@ -16,7 +16,7 @@
 
 namespace dockpoint {
 
-/// One metric, for the docs.
+/// Description of one metric, used to generate the documentation.
 struct MetricInfo {
   std::string name;
   std::string type;  ///< `counter`, `gauge` or `histogram`.
@@ -26,10 +26,10 @@
 /// @return every metric of `dockpointd`, in the order of docs/OPERATIONS.md.
 const std::vector<MetricInfo>& metric_table();
 
-/// The node's metrics in the Prometheus text format. Thread-safe.
+/// Renders the node's metrics in the Prometheus text format. Thread-safe.
 class Metrics : public LatencyRecorder {
  public:
-  /// Where the values come from; all outlive the metrics.
+  /// Sources of the values. Not owned; all must outlive the metrics.
   struct Sources {
     ControlLoop& control;
     const DatagramTransport& datagrams;
@@ -41,7 +41,7 @@
   void first_token(Duration time) override;
   void whole_answer(Duration time) override;
 
-  /// @return all metrics, read afresh.
+  /// @return all metrics with their current values.
   std::string render();
 
  private:
--- a/src/node/online_calls.hpp
+++ b/src/node/online_calls.hpp
@@ -11,16 +11,16 @@
 
 namespace dockpoint {
 
-/// An attempt that the control thread decided on.
+/// An attempt that the control thread has scheduled.
 struct AttemptCommand {
   EngineConfig engine;
   int priority = 0;
 };
 
-/// What a traffic thread is told to do with its request: try an engine, or end with an error.
+/// Command to a traffic thread: try an engine, or end the request with an error.
 using OnlineCommand = std::variant<AttemptCommand, Error>;
 
-/// One online request between its traffic thread, which waits, and the control thread.
+/// Hands commands for one online request from the control thread to the waiting traffic thread.
 class OnlineCommandQueue {
  public:
   void push(OnlineCommand command);
@@ -32,10 +32,10 @@
   std::deque<OnlineCommand> commands_;
 };
 
-/// All online requests of the node by number. Thread-safe.
+/// Online requests in progress on this node, by request number. Thread-safe.
 class OnlineCalls {
  public:
-  /// Registers a call for the time that the returned registration lives.
+  /// Registers a call for the lifetime of the returned registration.
   class Registration {
    public:
     explicit Registration(OnlineCalls& calls);
@@ -52,7 +52,7 @@
     std::shared_ptr<OnlineCommandQueue> call_;
   };
 
-  /// Passes a command on; ignored if the call has ended.
+  /// Delivers a command to its call; ignored if the call has ended.
   void push(RequestNumber number, OnlineCommand command);
 
   std::size_t size() const;
--- a/src/node/partition_followers.hpp
+++ b/src/node/partition_followers.hpp
@@ -12,9 +12,9 @@
 
 namespace dockpoint {
 
-/// Reads the streams of the partitions that this node follows, a thread each, and passes their
-/// records to the control thread. A page is passed on only when the one before it was folded, so a
-/// long history cannot pile up in memory.
+/// Reads the streams of the followed partitions, one thread per partition, and passes the records
+/// to the control thread. Each page is passed on only after the previous one was applied, which
+/// bounds the memory used while a long history is replayed.
 class PartitionFollowers : public Part {
  public:
   explicit PartitionFollowers(LogClient& log) : Part("partition-followers"), log_(log) {}
@@ -29,7 +29,7 @@
 
  private:
   void read_partition(int partition, std::stop_token stop);
-  /// @return the newest whole checkpoint, or nothing if there is none; waits for the log.
+  /// @return the latest complete checkpoint, or nothing if there is none. Blocks on log I/O.
   std::optional<std::string> load_checkpoint(int partition, std::stop_token stop);
 
   LogClient& log_;
@@ -37,10 +37,10 @@
   std::mutex mutex_;
   std::condition_variable_any changed_;
   std::set<int> wanted_;
-  std::map<int, std::jthread> threads_;  ///< Touched by `run` alone.
+  std::map<int, std::jthread> threads_;  ///< Accessed only by `run`.
 };
 
-/// @return the newest whole checkpoint in `stream`, read backwards from its end.
+/// @return the latest complete checkpoint in `stream`, found by reading backwards from its end.
 Result<std::optional<std::string>> read_newest_checkpoint(LogClient& log,
                                                           const std::string& stream);
 
--- a/src/node/settings.hpp
+++ b/src/node/settings.hpp
@@ -25,25 +25,25 @@
   std::string log_level = "info";
 };
 
-/// One setting, for the parser, the printout and the docs.
+/// Description of one setting, used by the parser, the printout and the documentation.
 struct SettingInfo {
   std::string key;       ///< Path in the file, such as `listen.api`.
   std::string flag;      ///< Long option that overrides it.
-  std::string fallback;  ///< Value if absent; empty: required.
+  std::string fallback;  ///< Default value; empty if the setting is required.
   std::string help;
 };
 
-/// @return every setting, in the order of the docs.
+/// @return every setting, in documentation order.
 const std::vector<SettingInfo>& setting_table();
 
-/// Values by key that override the file, from flags.
+/// Values from command-line flags by key; they override the file.
 using SettingOverrides = std::map<std::string, std::string>;
 
-/// Reads and checks a settings file. The error names file, key, value and what is allowed.
-/// @param path of a JSON file; empty: flags only.
+/// Reads and validates a settings file. An error names the file, key, value and allowed values.
+/// @param path path of a JSON file; if empty, only flags are used.
 Result<Settings> load_settings(const std::string& path, const SettingOverrides& overrides);
 
-/// @return the settings in force, one `key = value` a line.
+/// @return the effective settings, one `key = value` per line.
 std::string describe_settings(const Settings& settings);
 
 }  // namespace dockpoint
--- a/tests/node/item_registry_test.cpp
+++ b/tests/node/item_registry_test.cpp
@@ -18,7 +18,7 @@
 
 BOOST_AUTO_TEST_SUITE(item_registry)
 
-BOOST_AUTO_TEST_CASE(an_item_cancelled_while_it_waits_is_never_sent) {
+BOOST_AUTO_TEST_CASE(an_item_cancelled_while_queued_is_never_sent) {
   ItemRegistry items;
   BOOST_TEST(items.add(make_item(1)));
   BOOST_TEST(!items.cancel(3, "job", 1));
@@ -26,7 +26,7 @@
   BOOST_TEST(items.finish(make_item(1)));
 }
 
-BOOST_AUTO_TEST_CASE(an_item_under_way_is_stopped_at_its_engine) {
+BOOST_AUTO_TEST_CASE(cancelling_an_item_in_flight_returns_its_engine_request) {
   ItemRegistry items;
   items.add(make_item(1));
   BOOST_TEST(items.begin(make_item(1), {"engine", "id"}));
@@ -37,7 +37,7 @@
   BOOST_TEST(items.finish(make_item(1)));
 }
 
-BOOST_AUTO_TEST_CASE(an_item_is_noted_once_until_it_ends) {
+BOOST_AUTO_TEST_CASE(a_registered_item_cannot_be_added_again_until_it_finishes) {
   ItemRegistry items;
   BOOST_TEST(items.add(make_item(1)));
   BOOST_TEST(!items.add(make_item(1)));
--- a/tests/node/settings_test.cpp
+++ b/tests/node/settings_test.cpp
@@ -29,7 +29,7 @@
   return (folder / name).string();
 }
 
-/// A settings file that lives as long as the object.
+/// Temporary settings file, removed on destruction.
 class SettingsFile {
  public:
   explicit SettingsFile(const std::string& text) : path_(unique_path()) {
@@ -53,7 +53,7 @@
 
 BOOST_AUTO_TEST_SUITE(settings)
 
-BOOST_AUTO_TEST_CASE(takes_a_valid_file_and_flags_override_it) {
+BOOST_AUTO_TEST_CASE(flags_override_values_of_a_valid_file) {
   const SettingsFile file(kValid);
   std::optional<Settings> loaded;
   const std::optional<Error> error = error_of([&]() -> Result<void> {
@@ -68,7 +68,7 @@
   BOOST_TEST(describe_settings(*loaded).find("threads.batch = 9\n") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(malformed_files_are_refused_with_file_and_place) {
+BOOST_AUTO_TEST_CASE(malformed_files_are_rejected_with_file_and_position) {
   const std::vector<std::pair<std::string, std::string>> faults{
       {altered("\"name\": \"n1\", ", ""), "node.name"},
       {altered("\"zone\": \"z1\"", "\"zone\": 5"), "node.zone"},
@@ -99,7 +99,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_missing_file_is_named) {
+BOOST_AUTO_TEST_CASE(error_for_a_missing_file_names_the_file) {
   const std::optional<Error> error =
       error_of([] { return load_settings("/nonexistent/settings.json", {}); });
   BOOST_TEST_REQUIRE(error.has_value());
