--- a/include/dockpoint/node/node_controller.hpp
+++ b/include/dockpoint/node/node_controller.hpp
@@ -47,7 +47,7 @@
 /// Called with the outcome of a proposed configuration change.
 using ChangeConfirmation = std::function<void(const ChangeOutcome&)>;
 
-/// Owner of a partition as this node knows it, used to redirect requests.
+/// Owner of a job's partition as this node reports it to requesters.
 struct OwnerHint {
   bool is_self = false;
   std::string api_address;  ///< Empty if no owner is known.
@@ -140,8 +140,9 @@
   void configuration_changed(TimePoint now);
   /// Detects that the process was paused, which makes its state stale, in particular the list of
   /// leaving machines.
-  void notice_time(TimePoint now);
-  bool held(TimePoint now) const { return now < held_until_; }
+  void detect_pause(TimePoint now);
+  /// @return whether batch dispatch is suspended after a pause of the process.
+  bool dispatch_suspended(TimePoint now) const { return now < dispatch_suspended_until_; }
   void update_partitions(TimePoint now, UnixSeconds wall_clock);
   PartitionController::OwnershipView ownership_view(const PartitionController& partition,
                                                     TimePoint now) const;
@@ -166,8 +167,8 @@
   std::map<std::string, ChangeConfirmation> proposed_changes_;
   bool draining_ = false;
   std::optional<TimePoint> last_event_;
-  TimePoint pause_noticed_{};
-  TimePoint held_until_{};
+  TimePoint pause_detected_at_{};
+  TimePoint dispatch_suspended_until_{};
   TimePoint next_load_poll_{};
   TimePoint next_digest_{};
   TimePoint next_fetch_{};
--- a/src/files/file_store.cpp
+++ b/src/files/file_store.cpp
@@ -238,10 +238,10 @@
 
 Result<FileStore::Lines> FileStore::read_chunk(const std::string& stream, Offset offset) {
   const std::string key = stream + "/" + std::to_string(offset);
-  const auto is_it = [&key](const CachedChunk& chunk) { return chunk.key == key; };
+  const auto has_key = [&key](const CachedChunk& chunk) { return chunk.key == key; };
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const auto cached = std::find_if(chunk_cache_.begin(), chunk_cache_.end(), is_it);
+    const auto cached = std::find_if(chunk_cache_.begin(), chunk_cache_.end(), has_key);
     if (cached != chunk_cache_.end()) {
       chunk_cache_.splice(chunk_cache_.begin(), chunk_cache_, cached);
       return chunk_cache_.front().lines;
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -46,7 +46,7 @@
 }
 
 void ActionExecutor::write_checkpoint(int partition, Offset covers, std::string snapshot) {
-  spdlog::info("batch: A checkpoint is written; partition={} covers={} bytes={}", partition, covers,
+  spdlog::info("batch: Writing checkpoint; partition={} covers={} bytes={}", partition, covers,
                snapshot.size());
   for (std::string& record :
        make_checkpoint_records(covers, writer_, snapshot, checkpoint_chunk_bytes_)) {
--- a/src/node/batch_sender.cpp
+++ b/src/node/batch_sender.cpp
@@ -10,14 +10,14 @@
 
 constexpr std::chrono::milliseconds kItemTimeout{120'000};
 constexpr std::chrono::milliseconds kItemCancelTimeout{2'000};
-constexpr std::size_t kMaximumWaiting = 100'000;
+constexpr std::size_t kMaximumQueuedItems = 100'000;
 
 }  // namespace
 
 BatchSender::BatchSender(FileStore& files, int threads)
     : files_(files),
       sessions_(kItemTimeout),
-      pool_(std::make_shared<TaskPool>("batch-sender", threads, kMaximumWaiting)) {}
+      pool_(std::make_shared<TaskPool>("batch-sender", threads, kMaximumQueuedItems)) {}
 
 void BatchSender::send(const ItemDispatch& item) {
   const auto report = [this](ItemOutcome outcome) {
@@ -52,12 +52,12 @@
     return {};
   });
   if (error) {
-    const bool later = error->code == ResultCode::kPlatformUnavailable;
-    ItemOutcome outcome = make_outcome(item, later ? ItemEnd::kNotSent : ItemEnd::kInvalid);
+    const bool retryable = error->code == ResultCode::kPlatformUnavailable;
+    ItemOutcome outcome = make_outcome(item, retryable ? ItemEnd::kNotSent : ItemEnd::kInvalid);
     outcome.body = error_detail_json(error->code, error->message);
     return outcome;
   }
-  if (!items_.begin(item, {item.engine_address, request_id})) {
+  if (!items_.mark_sent(item, {item.engine_address, request_id})) {
     return make_outcome(item, ItemEnd::kNotSent);
   }
   return exchange_with_engine(item, *batch_item, request_id);
@@ -80,7 +80,7 @@
   outcome.custom_id = batch_item.custom_id;
   if (!exchanged.answer) {
     outcome.end = exchanged.failure.sent ? ItemEnd::kUnknown : ItemEnd::kNotSent;
-    spdlog::debug("batch: An item got no answer; request_id={} reason={}", request_id,
+    spdlog::debug("batch: No response for item; request_id={} reason={}", request_id,
                   exchanged.failure.reason);
     return outcome;
   }
@@ -100,7 +100,7 @@
 }
 
 void BatchSender::cancel(int partition, const std::string& job, ItemIndex item) {
-  const std::optional<ItemRegistry::Sent> sent = items_.cancel(partition, job, item);
+  const std::optional<ItemRegistry::SentRequest> sent = items_.cancel(partition, job, item);
   if (!sent) {
     return;
   }
--- a/src/node/configuration_follower.cpp
+++ b/src/node/configuration_follower.cpp
@@ -47,7 +47,7 @@
     return;
   }
   reachable_ = reachable;
-  spdlog::warn("log: The platform's log is {}.", reachable ? "reachable again" : "out of reach");
+  spdlog::warn("log: The platform's log is {}.", reachable ? "reachable" : "unreachable");
   control_.post([reachable](NodeController& controller, TimePoint) {
     controller.log_reachability_changed(reachable);
   });
--- a/src/node/control_loop.cpp
+++ b/src/node/control_loop.cpp
@@ -63,7 +63,7 @@
     try {
       event(*controller_, monotonic_now());
     } catch (const std::exception& exception) {
-      spdlog::error("control: An event failed; reason={}", exception.what());
+      spdlog::error("control: Event handler threw an exception; reason={}", exception.what());
     }
   }
   lock.lock();
--- a/src/node/controller/node_controller.cpp
+++ b/src/node/controller/node_controller.cpp
@@ -29,28 +29,28 @@
   membership_.set_candidates(options_.seeds);
 }
 
-void NodeController::notice_time(TimePoint now) {
+void NodeController::detect_pause(TimePoint now) {
   const bool paused = last_event_ && now - *last_event_ > options_.knobs.pause_threshold;
   last_event_ = now;
   if (paused && options_.knobs.mechanisms.pause_hold) {
-    pause_noticed_ = now;
-    held_until_ = now + options_.knobs.pause_hold;
-    online_.pause(held_until_);
+    pause_detected_at_ = now;
+    dispatch_suspended_until_ = now + options_.knobs.pause_hold;
+    online_.pause(dispatch_suspended_until_);
   }
 }
 
 void NodeController::submit_online(OnlineRequest request, TimePoint now) {
-  notice_time(now);
+  detect_pause(now);
   online_.submit(std::move(request), now);
 }
 
 void NodeController::online_attempt_ended(RequestNumber request, AttemptEnd end, TimePoint now) {
-  notice_time(now);
+  detect_pause(now);
   online_.attempt_ended(request, end, now);
 }
 
 void NodeController::tick(TimePoint now, UnixSeconds wall_clock) {
-  notice_time(now);
+  detect_pause(now);
   membership_.tick(now);
   placement_.refresh(configuration_.current().revision, configuration_.config()->partitions,
                      draining_);
@@ -63,7 +63,7 @@
 }
 
 void NodeController::peer_message(const PeerMessage& message, TimePoint now) {
-  notice_time(now);
+  detect_pause(now);
   membership_.receive(message, now);
   for (const EngineDigest& digest : message.digests) {
     engines_.report(digest, now);
@@ -79,7 +79,7 @@
 
 void NodeController::configuration_read(Offset first, const std::vector<std::string>& records,
                                         TimePoint now) {
-  notice_time(now);
+  detect_pause(now);
   const std::uint64_t before = configuration_.current().revision;
   for (std::size_t index = 0; index < records.size(); ++index) {
     const Offset offset = first + index;
@@ -121,7 +121,7 @@
 
 void NodeController::machines_listed(const std::vector<MachineEntry>& machines,
                                      TimePoint read_started, TimePoint now) {
-  notice_time(now);
+  detect_pause(now);
   std::vector<std::string> candidates = options_.seeds;
   std::vector<std::string> leaving_engines;
   for (const MachineEntry& machine : machines) {
@@ -135,14 +135,14 @@
   membership_.set_candidates(candidates);
   engines_.set_leaving_addresses(leaving_engines);
   // A list requested before the pause was detected may be stale.
-  if (read_started >= pause_noticed_) {
-    held_until_ = TimePoint{};
+  if (read_started >= pause_detected_at_) {
+    dispatch_suspended_until_ = TimePoint{};
     online_.resume(now);
   }
 }
 
 void NodeController::load_polled(const std::string& engine, const EngineLoad& load, TimePoint now) {
-  notice_time(now);
+  detect_pause(now);
   engines_.report(engine, load, now);
 }
 
@@ -156,7 +156,7 @@
 void NodeController::partition_read(int partition, Offset first,
                                     const std::vector<std::string>& records, bool at_tail,
                                     TimePoint read_started, TimePoint now) {
-  notice_time(now);
+  detect_pause(now);
   const auto found = partitions_.find(partition);
   if (found != partitions_.end()) {
     found->second->records_read(first, records, at_tail, read_started, now);
@@ -340,13 +340,13 @@
 
 void NodeController::dispatch_batch(TimePoint now, UnixSeconds wall_clock) {
   membership_.set_pending_batch_items(batch_.demand(now, wall_clock));
-  if (!held(now)) {
+  if (!dispatch_suspended(now)) {
     batch_.send_items(membership_.nodes_with_pending_batch(), now, wall_clock);
   }
 }
 
 void NodeController::item_ended(const ItemOutcome& outcome, TimePoint now, UnixSeconds wall_clock) {
-  notice_time(now);
+  detect_pause(now);
   batch_.item_ended(outcome, now);
   const auto found = partitions_.find(outcome.partition);
   if (found != partitions_.end()) {
--- a/src/node/daemon.cpp
+++ b/src/node/daemon.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kLogWriterThreads = 4;
 constexpr int kTaskThreads = 8;
-constexpr std::size_t kWaitingTasks = 10'000;
+constexpr std::size_t kMaximumQueuedTasks = 10'000;
 constexpr std::chrono::milliseconds kDrainPoll{50};
 
 std::uint64_t unix_microseconds() {
@@ -50,7 +50,7 @@
                   controller.peer_message(message, now);
                 });
           })),
-      tasks_(std::make_shared<TaskPool>("tasks", kTaskThreads, kWaitingTasks)),
+      tasks_(std::make_shared<TaskPool>("tasks", kTaskThreads, kMaximumQueuedTasks)),
       batch_sender_(files_, settings.batch_threads) {
   const NodeOptions options = make_options(settings, run_);
   executor_ = std::make_unique<ActionExecutor>(
@@ -98,16 +98,17 @@
     try {
       root_->run(stop);
     } catch (const SupervisorGaveUp& reason) {
-      spdlog::critical("supervisor: The node cannot go on; reason={}", reason.what());
+      spdlog::critical("supervisor: Restart limits exceeded, the node is failing; reason={}",
+                       reason.what());
       failed_ = true;
     }
   });
-  spdlog::info("node: The node runs; name={} zone={} api={} peer={}", settings_.node_name,
+  spdlog::info("node: Node started; name={} zone={} api={} peer={}", settings_.node_name,
                settings_.zone, settings_.api_address, settings_.peer_address);
 }
 
 int Daemon::drain(const std::function<bool()>& give_up) {
-  spdlog::info("node: The drain begins; requests={}", api_->requests_in_progress());
+  spdlog::info("node: Drain started; requests={}", api_->requests_in_progress());
   api_->begin_drain();
   control_->call([](NodeController& controller, TimePoint) {
     controller.begin_drain();
@@ -125,13 +126,13 @@
     return true;
   });
   if (complete) {
-    spdlog::info("node: The drain is complete; cut=0");
+    spdlog::info("node: Drain completed; cut=0");
     return 0;
   }
   const int batch = control_->call(
       [](NodeController& controller, TimePoint) { return controller.batch_in_flight(); });
   const int cut = api_->requests_in_progress() + batch;
-  spdlog::warn("node: The drain ended early; requests_cut={} items_cut={}",
+  spdlog::warn("node: Drain incomplete, work aborted; requests_cut={} items_cut={}",
                api_->requests_in_progress(), batch);
   return cut;
 }
--- a/src/node/daemon.hpp
+++ b/src/node/daemon.hpp
@@ -21,7 +21,7 @@
   explicit Daemon(const Settings& settings);
   ~Daemon();
 
-  /// Starts all parts. Returns when all are running or one failed to start.
+  /// Starts all parts on a background thread and returns without waiting for them.
   void start();
 
   /// Drains the node: accepts no new work, finishes work in progress, hands its partitions over and
--- a/src/node/item_registry.cpp
+++ b/src/node/item_registry.cpp
@@ -7,7 +7,7 @@
   return entries_.emplace(Key{item.partition, item.job, item.item}, Entry{}).second;
 }
 
-bool ItemRegistry::begin(const ItemDispatch& item, const Sent& sent) {
+bool ItemRegistry::mark_sent(const ItemDispatch& item, const SentRequest& sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = entries_.find(Key{item.partition, item.job, item.item});
   if (found == entries_.end() || found->second.cancelled) {
@@ -23,8 +23,8 @@
   return !node.empty() && node.mapped().cancelled;
 }
 
-std::optional<ItemRegistry::Sent> ItemRegistry::cancel(int partition, const std::string& job,
-                                                       ItemIndex item) {
+std::optional<ItemRegistry::SentRequest> ItemRegistry::cancel(int partition, const std::string& job,
+                                                              ItemIndex item) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = entries_.find(Key{partition, job, item});
   if (found == entries_.end()) {
--- a/src/node/item_registry.hpp
+++ b/src/node/item_registry.hpp
@@ -15,7 +15,7 @@
 class ItemRegistry {
  public:
   /// A request in flight at an engine.
-  struct Sent {
+  struct SentRequest {
     std::string engine_address;
     std::string request_id;
   };
@@ -24,17 +24,17 @@
   bool add(const ItemDispatch& item);
   /// Marks the item as sent; call right before sending. @return false if it was cancelled while
   /// queued; it must not be sent then.
-  bool begin(const ItemDispatch& item, const Sent& sent);
+  bool mark_sent(const ItemDispatch& item, const SentRequest& sent);
   /// Removes the item. @return whether it was cancelled in the meantime.
   bool finish(const ItemDispatch& item);
   /// Marks the item as cancelled.
   /// @return the request to cancel at the engine, or nothing if none was sent.
-  std::optional<Sent> cancel(int partition, const std::string& job, ItemIndex item);
+  std::optional<SentRequest> cancel(int partition, const std::string& job, ItemIndex item);
 
  private:
   using Key = std::tuple<int, std::string, ItemIndex>;
   struct Entry {
-    std::optional<Sent> sent;
+    std::optional<SentRequest> sent;
     bool cancelled = false;
   };
 
--- a/src/node/machine_list_poller.cpp
+++ b/src/node/machine_list_poller.cpp
@@ -43,7 +43,7 @@
     return {};
   });
   if (error) {
-    spdlog::warn("machines: The machine list cannot be read; reason={}", error->message);
+    spdlog::warn("machines: Failed to parse the machine list; reason={}", error->message);
   }
 }
 
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -27,7 +27,7 @@
          static_cast<double>(used.tv_nsec) / kNanosecondsPerSecond;
 }
 
-/// Reads the resident set size in pages: the second field of /proc/self/statm.
+/// @return the resident set size in bytes, from the second field of /proc/self/statm (in pages).
 double resident_bytes() {
   std::ifstream file("/proc/self/statm");
   long total_pages = 0;
--- a/src/node/metrics.hpp
+++ b/src/node/metrics.hpp
@@ -16,7 +16,7 @@
 
 namespace dockpoint {
 
-/// Description of one metric, used to generate the documentation.
+/// Description of one metric, for the documentation.
 struct MetricInfo {
   std::string name;
   std::string type;  ///< `counter`, `gauge` or `histogram`.
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -16,7 +16,7 @@
 const std::vector<std::string> kLogLevels{"debug", "info", "warn", "error"};
 
 /// Stores a flag's value in the document, converted to the type of its key.
-void put_override(Poco::JSON::Object::Ptr root, const std::string& key, const std::string& text) {
+void apply_override(Poco::JSON::Object::Ptr root, const std::string& key, const std::string& text) {
   const std::size_t dot = key.find('.');
   Poco::JSON::Object::Ptr section = root;
   if (dot != std::string::npos) {
@@ -29,9 +29,9 @@
   const std::string leaf = dot == std::string::npos ? key : key.substr(dot + 1);
   if (leaf == "seeds") {
     Poco::JSON::Array::Ptr seeds = new Poco::JSON::Array;
-    std::istringstream words(text);
-    for (std::string word; std::getline(words, word, ',');) {
-      seeds->add(word);
+    std::istringstream list(text);
+    for (std::string seed; std::getline(list, seed, ',');) {
+      seeds->add(seed);
     }
     section->set(leaf, seeds);
     return;
@@ -59,7 +59,8 @@
   const auto check = [&](const std::string& key, const std::string& address) {
     const auto [other, inserted] = seen.emplace(address, key);
     if (!inserted) {
-      problems.push_back({key, "is \"" + address + "\", which " + other->second + " has"});
+      problems.push_back(
+          {key, "is \"" + address + "\", but " + other->second + " has the same address"});
     }
   };
   check("listen.api", settings.api_address);
@@ -72,7 +73,7 @@
       problems.push_back({"seeds", "holds \"" + seed + "\"; IP:port is expected"});
     }
     if (!seeds.insert(seed).second) {
-      problems.push_back({"seeds", "holds \"" + seed + "\" twice"});
+      problems.push_back({"seeds", "contains \"" + seed + "\" more than once"});
     }
   }
 }
@@ -157,7 +158,7 @@
     }
   }
   for (const auto& [key, text] : overrides) {
-    put_override(document, key, text);
+    apply_override(document, key, text);
   }
   Problems problems;
   Settings settings = read_settings(document, problems);
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -55,7 +55,7 @@
     if (stop.stop_requested()) {
       return;
     }
-    spdlog::error("supervisor: A part failed; part={} reason={}", child.part->name(), reason);
+    spdlog::error("supervisor: Part failed; part={} reason={}", child.part->name(), reason);
     const std::lock_guard<std::mutex> lock(mutex_);
     child.failed = true;
     changed_.notify_all();
@@ -74,7 +74,7 @@
     child.thread.join();
     count_restart(child.part->name());
     std::this_thread::sleep_for(limits_.pause);
-    spdlog::warn("supervisor: A part is restarted; part={}", child.part->name());
+    spdlog::warn("supervisor: Restarting part; part={}", child.part->name());
     start(child);
   }
 }
--- a/src/supervisor/task_pool.cpp
+++ b/src/supervisor/task_pool.cpp
@@ -21,11 +21,11 @@
   std::vector<std::jthread> workers;
   workers.reserve(static_cast<std::size_t>(threads_));
   for (int index = 0; index < threads_; ++index) {
-    workers.emplace_back([this, stop] { work(stop); });
+    workers.emplace_back([this, stop] { process_tasks(stop); });
   }
 }
 
-void TaskPool::work(std::stop_token stop) {
+void TaskPool::process_tasks(std::stop_token stop) {
   while (true) {
     Task task;
     {
@@ -42,7 +42,7 @@
     try {
       task();
     } catch (const std::exception& exception) {
-      spdlog::error("supervisor: A task failed; pool={} reason={}", name(), exception.what());
+      spdlog::error("supervisor: Task failed; pool={} reason={}", name(), exception.what());
     }
   }
 }
--- a/src/supervisor/task_pool.hpp
+++ b/src/supervisor/task_pool.hpp
@@ -26,7 +26,7 @@
   std::size_t waiting() const;
 
  private:
-  void work(std::stop_token stop);
+  void process_tasks(std::stop_token stop);
 
   const int threads_;
   const std::size_t limit_;
--- a/tests/node/item_registry_test.cpp
+++ b/tests/node/item_registry_test.cpp
@@ -22,14 +22,14 @@
   ItemRegistry items;
   BOOST_TEST(items.add(make_item(1)));
   BOOST_TEST(!items.cancel(3, "job", 1));
-  BOOST_TEST(!items.begin(make_item(1), {"engine", "id"}));
+  BOOST_TEST(!items.mark_sent(make_item(1), {"engine", "id"}));
   BOOST_TEST(items.finish(make_item(1)));
 }
 
 BOOST_AUTO_TEST_CASE(cancelling_an_item_in_flight_returns_its_engine_request) {
   ItemRegistry items;
   items.add(make_item(1));
-  BOOST_TEST(items.begin(make_item(1), {"engine", "id"}));
+  BOOST_TEST(items.mark_sent(make_item(1), {"engine", "id"}));
   const auto sent = items.cancel(3, "job", 1);
   BOOST_REQUIRE(sent);
   BOOST_TEST(sent->engine_address == "engine");
--- a/tests/node/settings_test.cpp
+++ b/tests/node/settings_test.cpp
@@ -42,7 +42,7 @@
   std::string path_;
 };
 
-std::string altered(const std::string& from, const std::string& to) {
+std::string with_replacement(const std::string& from, const std::string& to) {
   std::string text = kValid;
   const std::size_t place = text.find(from);
   BOOST_REQUIRE(place != std::string::npos);
@@ -68,20 +68,21 @@
   BOOST_TEST(describe_settings(*loaded).find("threads.batch = 9\n") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(malformed_files_are_rejected_with_file_and_position) {
+BOOST_AUTO_TEST_CASE(malformed_files_are_rejected_with_file_and_key) {
   const std::vector<std::pair<std::string, std::string>> faults{
-      {altered("\"name\": \"n1\", ", ""), "node.name"},
-      {altered("\"zone\": \"z1\"", "\"zone\": 5"), "node.zone"},
-      {altered("\"http\": 64", "\"http\": 3"), "threads.http"},
-      {altered("\"http\": 64", "\"http\": \"64\""), "threads.http"},
-      {altered("\"batch\": 8", "\"bach\": 8"), "threads.bach"},
-      {altered("\"level\": \"warn\"", "\"level\": \"loud\""), "log.level"},
-      {altered("127.0.0.1:8201", "127.0.0.1:8101"), "listen.peer"},
-      {altered("127.0.0.1:8101", "127.0.0.1"), "listen.api"},
-      {altered("127.0.0.1:7001", "log.example:7001"), "platform.log"},
-      {altered("[\"127.0.0.1:8202\"]", "[\"127.0.0.1:8202\",\"127.0.0.1:8202\"]"), "seeds"},
-      {altered("\"seeds\"", "\"sheds\""), "sheds"},
-      {altered("5}", "5.5}"), "limits.drain_seconds"},
+      {with_replacement("\"name\": \"n1\", ", ""), "node.name"},
+      {with_replacement("\"zone\": \"z1\"", "\"zone\": 5"), "node.zone"},
+      {with_replacement("\"http\": 64", "\"http\": 3"), "threads.http"},
+      {with_replacement("\"http\": 64", "\"http\": \"64\""), "threads.http"},
+      {with_replacement("\"batch\": 8", "\"bach\": 8"), "threads.bach"},
+      {with_replacement("\"level\": \"warn\"", "\"level\": \"loud\""), "log.level"},
+      {with_replacement("127.0.0.1:8201", "127.0.0.1:8101"), "listen.peer"},
+      {with_replacement("127.0.0.1:8101", "127.0.0.1"), "listen.api"},
+      {with_replacement("127.0.0.1:7001", "log.example:7001"), "platform.log"},
+      {with_replacement("[\"127.0.0.1:8202\"]", "[\"127.0.0.1:8202\",\"127.0.0.1:8202\"]"),
+       "seeds"},
+      {with_replacement("\"seeds\"", "\"sheds\""), "sheds"},
+      {with_replacement("5}", "5.5}"), "limits.drain_seconds"},
       {std::string(kValid).substr(0, 100), ""},
   };
   for (const auto& [text, place] : faults) {
