--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -30,8 +30,8 @@
   if (leaf == "seeds") {
     Poco::JSON::Array::Ptr seeds = new Poco::JSON::Array;
     std::istringstream list(text);
-    for (std::string seed; std::getline(list, seed, ',');) {
-      seeds->add(seed);
+    for (std::string seed_address; std::getline(list, seed_address, ',');) {
+      seeds->add(seed_address);
     }
     section->set(leaf, seeds);
     return;
