--- a/src/files/file_store.cpp
+++ b/src/files/file_store.cpp
@@ -37,7 +37,7 @@
   return static_cast<int>(random() % kFileStreams);
 }
 
-/// Reads `file-STREAM-OFFSET`.
+/// Parses a file id of the form `file-STREAM-OFFSET`.
 Result<FileAddress> parse_id(const std::string& id) {
   int stream = -1;
   Offset offset = 0;
@@ -54,7 +54,7 @@
   return fail(ResultCode::kNotFound, "no such file: " + id, "id");
 }
 
-/// Collects lines and checks what they must have in common.
+/// Collects lines and validates the properties that all of them must share.
 class InputChecker {
  public:
   Result<void> check(const std::string& line, ItemIndex number) {
@@ -213,7 +213,8 @@
 }
 
 Result<std::uint64_t> FileStore::append(const std::string& stream, const std::string& record) {
-  // A chunk that is appended twice, after a lost answer, is garbage that no manifest names.
+  // If the answer to an append is lost, the retry appends the chunk again; no manifest refers to
+  // the first copy.
   for (int attempt = 1; attempt < kAppendAttempts; ++attempt) {
     std::optional<std::uint64_t> offset;
     const std::optional<Error> error = error_of([&]() -> Result<void> {
@@ -237,10 +238,10 @@
 
 Result<FileStore::Lines> FileStore::read_chunk(const std::string& stream, Offset offset) {
   const std::string key = stream + "/" + std::to_string(offset);
-  const auto is_it = [&key](const CachedChunk& chunk) { return chunk.key == key; };
+  const auto has_key = [&key](const CachedChunk& chunk) { return chunk.key == key; };
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const auto cached = std::find_if(chunk_cache_.begin(), chunk_cache_.end(), is_it);
+    const auto cached = std::find_if(chunk_cache_.begin(), chunk_cache_.end(), has_key);
     if (cached != chunk_cache_.end()) {
       chunk_cache_.splice(chunk_cache_.begin(), chunk_cache_, cached);
       return chunk_cache_.front().lines;
--- a/src/node/configuration_follower.cpp
+++ b/src/node/configuration_follower.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t kConfigurationPageRecords = 100;
 constexpr std::chrono::milliseconds kConfigurationReadWait{500};
 constexpr std::chrono::milliseconds kConfigurationRetryPause{200};
-/// A log that has not answered for so long counts as out of reach.
+/// The log counts as unreachable after this long without an answer.
 constexpr std::chrono::seconds kUnreachableAfter{2};
 
 }  // namespace
@@ -47,7 +47,7 @@
     return;
   }
   reachable_ = reachable;
-  spdlog::warn("log: The platform's log is {}.", reachable ? "reachable again" : "out of reach");
+  spdlog::warn("log: The platform's log is {}.", reachable ? "reachable" : "unreachable");
   control_.post([reachable](NodeController& controller, TimePoint) {
     controller.log_reachability_changed(reachable);
   });
--- a/tests/node/settings_test.cpp
+++ b/tests/node/settings_test.cpp
@@ -29,7 +29,7 @@
   return (folder / name).string();
 }
 
-/// A settings file that lives as long as the object.
+/// Temporary settings file, removed on destruction.
 class SettingsFile {
  public:
   explicit SettingsFile(const std::string& text) : path_(unique_path()) {
@@ -42,7 +42,7 @@
   std::string path_;
 };
 
-std::string altered(const std::string& from, const std::string& to) {
+std::string with_replacement(const std::string& from, const std::string& to) {
   std::string text = kValid;
   const std::size_t place = text.find(from);
   BOOST_REQUIRE(place != std::string::npos);
@@ -53,7 +53,7 @@
 
 BOOST_AUTO_TEST_SUITE(settings)
 
-BOOST_AUTO_TEST_CASE(takes_a_valid_file_and_flags_override_it) {
+BOOST_AUTO_TEST_CASE(flags_override_values_of_a_valid_file) {
   const SettingsFile file(kValid);
   std::optional<Settings> loaded;
   const std::optional<Error> error = error_of([&]() -> Result<void> {
@@ -68,20 +68,21 @@
   BOOST_TEST(describe_settings(*loaded).find("threads.batch = 9\n") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(malformed_files_are_refused_with_file_and_place) {
+BOOST_AUTO_TEST_CASE(malformed_files_are_rejected_with_file_and_key) {
   const std::vector<std::pair<std::string, std::string>> faults{
-      {altered("\"name\": \"n1\", ", ""), "node.name"},
-      {altered("\"zone\": \"z1\"", "\"zone\": 5"), "node.zone"},
-      {altered("\"http\": 64", "\"http\": 3"), "threads.http"},
-      {altered("\"http\": 64", "\"http\": \"64\""), "threads.http"},
-      {altered("\"batch\": 8", "\"bach\": 8"), "threads.bach"},
-      {altered("\"level\": \"warn\"", "\"level\": \"loud\""), "log.level"},
-      {altered("127.0.0.1:8201", "127.0.0.1:8101"), "listen.peer"},
-      {altered("127.0.0.1:8101", "127.0.0.1"), "listen.api"},
-      {altered("127.0.0.1:7001", "log.example:7001"), "platform.log"},
-      {altered("[\"127.0.0.1:8202\"]", "[\"127.0.0.1:8202\",\"127.0.0.1:8202\"]"), "seeds"},
-      {altered("\"seeds\"", "\"sheds\""), "sheds"},
-      {altered("5}", "5.5}"), "limits.drain_seconds"},
+      {with_replacement("\"name\": \"n1\", ", ""), "node.name"},
+      {with_replacement("\"zone\": \"z1\"", "\"zone\": 5"), "node.zone"},
+      {with_replacement("\"http\": 64", "\"http\": 3"), "threads.http"},
+      {with_replacement("\"http\": 64", "\"http\": \"64\""), "threads.http"},
+      {with_replacement("\"batch\": 8", "\"bach\": 8"), "threads.bach"},
+      {with_replacement("\"level\": \"warn\"", "\"level\": \"loud\""), "log.level"},
+      {with_replacement("127.0.0.1:8201", "127.0.0.1:8101"), "listen.peer"},
+      {with_replacement("127.0.0.1:8101", "127.0.0.1"), "listen.api"},
+      {with_replacement("127.0.0.1:7001", "log.example:7001"), "platform.log"},
+      {with_replacement("[\"127.0.0.1:8202\"]", "[\"127.0.0.1:8202\",\"127.0.0.1:8202\"]"),
+       "seeds"},
+      {with_replacement("\"seeds\"", "\"sheds\""), "sheds"},
+      {with_replacement("5}", "5.5}"), "limits.drain_seconds"},
       {std::string(kValid).substr(0, 100), ""},
   };
   for (const auto& [text, place] : faults) {
@@ -99,7 +100,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_missing_file_is_named) {
+BOOST_AUTO_TEST_CASE(error_for_a_missing_file_names_the_file) {
   const std::optional<Error> error =
       error_of([] { return load_settings("/nonexistent/settings.json", {}); });
   BOOST_TEST_REQUIRE(error.has_value());
