--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -9,7 +9,7 @@
 
 namespace dockpoint::net {
 
-/// @return a reading of one of the system's clocks.
+/// @return the current value of the given system clock.
 inline TimePoint read_clock(clockid_t clock) {
   timespec time{};
   clock_gettime(clock, &time);
@@ -17,13 +17,13 @@
                                                         std::chrono::nanoseconds(time.tv_nsec)));
 }
 
-/// @return decision time. It never goes back, and goes on while the machine is suspended: what was
-/// believed before must look as old as it is.
+/// @return monotonic time used for decisions. It includes time during which the machine was
+/// suspended, so that state recorded before a suspension has its true age.
 inline TimePoint steady_now() {
   return read_clock(CLOCK_BOOTTIME);
 }
 
-/// @return the same without the time that the machine was suspended.
+/// @return monotonic time, excluding time during which the machine was suspended.
 inline TimePoint running_now() {
   return read_clock(CLOCK_MONOTONIC);
 }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -14,13 +14,13 @@
 
 using ErrorCode = boost::system::error_code;
 
-/// A kept connection is left this long before the server would close it.
+/// Margin before the server's idle timeout at which a persistent connection is no longer reused.
 constexpr Duration kIdleMargin = std::chrono::milliseconds(600);
 
-/// Most kept connections to one server.
+/// Maximum number of idle persistent connections to one server.
 constexpr std::size_t kMaximumIdle = 24;
 
-/// Seconds after which an idle connection to a server is probed.
+/// Idle time before TCP keep-alive probes to a server, in seconds.
 constexpr int kServerKeepaliveSeconds = 2;
 
 /// @return the `timeout` of a `Keep-Alive` header.
@@ -54,7 +54,8 @@
 
 void Call::time_out() {
   if (connection_ && reused_) {
-    // All open connections may have gone silent together: each later call would wait in vain too.
+    // All open connections may have stopped responding together; later calls on them would time
+    // out.
     connection_->abandon_idle_siblings();
   }
   cancel();
@@ -228,7 +229,7 @@
 
 void ClientConnection::on_connected(const ErrorCode& error) {
   if (!connecting_) {
-    return;  // Given up meanwhile.
+    return;  // The call was cancelled in the meantime.
   }
   if (error) {
     fail_connect();
@@ -296,7 +297,7 @@
 void ClientConnection::on_bytes(std::string_view bytes) {
   const auto self = shared_from_this();
   if (!call_) {
-    // Bytes that belong to nobody: nothing more is asked on this connection.
+    // Unexpected bytes without a pending call: the connection must not be reused.
     abandon();
     return;
   }
@@ -393,7 +394,7 @@
   }
 }
 
-/// Ends a simple call that takes too long.
+/// Ends a simple call that exceeds its timeout.
 struct SimpleCall::Timer {
   explicit Timer(boost::asio::io_context& loop) : timer(loop) {}
   boost::asio::steady_timer timer;
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -17,52 +17,52 @@
 #include "net/http_parser.hpp"
 #include "net/tcp_connection.hpp"
 
-/// HTTP/1.1 client with kept connections, on the event loop.
+/// Event-loop HTTP/1.1 client with persistent connections.
 namespace dockpoint::net {
 
-/// Why a call has no complete answer.
+/// Reason why a call did not receive a complete response.
 enum class CallFailure {
-  kNotSent,      ///< No connection took a byte of the request: it did not run.
-  kNoAnswer,     ///< It was sent, and the connection ended before a head came.
-  kInterrupted,  ///< The connection ended within the answer.
-  kMalformed,    ///< What came is no answer in the protocol.
+  kNotSent,      ///< No connection accepted any byte of the request: it did not run.
+  kNoAnswer,     ///< The request was sent; the connection closed before a response head.
+  kInterrupted,  ///< The connection closed in the middle of the response.
+  kMalformed,    ///< The received bytes are not a valid HTTP response.
 };
 
-/// Receives the answer of a call. Callbacks come from the event loop, never from within `start`.
+/// Receives the response to a call. Callbacks run on the event loop, never from within `start`.
 class CallObserver {
  public:
   virtual ~CallObserver() = default;
-  /// A head came.
-  /// @return whether it answers this call; otherwise that answer is skipped whole.
+  /// Called when a response head has arrived.
+  /// @return whether the response belongs to this call; if not, the whole response is skipped.
   virtual bool on_head(const ResponseHead& head) = 0;
   virtual void on_body(std::string_view bytes) = 0;
-  /// The answer is complete. The call is over.
+  /// Called when the response is complete. The call has ended.
   virtual void on_complete() = 0;
-  /// The call is over without a complete answer.
+  /// Called when the call has ended without a complete response.
   virtual void on_failure(CallFailure failure) = 0;
 };
 
-/// How to reach a server.
+/// Address and identity of a server.
 struct Endpoint {
   Address address;
-  std::string identity;  ///< Connections are shared only within one identity at the address.
+  std::string identity;  ///< Connections are reused only for the same address and identity.
   friend bool operator<(const Endpoint& left, const Endpoint& right) {
     return std::tie(left.address.host, left.address.port, left.identity) <
            std::tie(right.address.host, right.address.port, right.identity);
   }
 };
 
-/// Limits of a call's connection.
+/// Timeouts of the connection used by a call.
 struct CallOptions {
   Duration connect_timeout = std::chrono::milliseconds(400);
-  Duration maximum_idle = std::chrono::seconds(3);  ///< Older kept connections are not used.
-  int user_timeout_ms = 1'000;  ///< Unacknowledged data breaks the connection after this time.
+  Duration maximum_idle = std::chrono::seconds(3);  ///< Connections idle for longer are not reused.
+  int user_timeout_ms = 1'000;                      ///< TCP_USER_TIMEOUT for unacknowledged data.
 };
 
 class HttpClient;
 class ClientConnection;
 
-/// One request on its way. Destroying or cancelling it closes its connection, unless the answer was
+/// A request in flight. Destroying or cancelling it closes its connection unless the response is
 /// complete.
 class Call {
  public:
@@ -70,17 +70,17 @@
   Call(const Call&) = delete;
   Call& operator=(const Call&) = delete;
 
-  /// Gives up: the connection is closed at once and nothing is reported any more.
+  /// Cancels the call: closes the connection immediately and makes no further callbacks.
   void cancel();
-  /// Gives up because no answer came in time. If the connection was a kept one, the others to that
-  /// server are closed too.
+  /// Cancels the call because the response timed out. If its connection was a reused one, the other
+  /// persistent connections to that server are closed too.
   void time_out();
-  /// Holds the server up until `resume_reading`.
+  /// Applies backpressure to the server until `resume_reading` is called.
   void pause_reading();
   void resume_reading();
   /// @return whether bytes of the request may have reached the server.
   bool sent() const { return sent_; }
-  /// @return whether it runs on a connection that had been used before.
+  /// @return whether the call uses a connection that had been used before.
   bool reused() const { return reused_; }
 
  private:
@@ -98,27 +98,27 @@
 
 using CallPtr = std::shared_ptr<Call>;
 
-/// Counts since the start.
+/// Counters since the client was created.
 struct ClientCounts {
   std::uint64_t connections = 0;
   std::uint64_t calls = 0;
 };
 
-/// Makes calls over kept connections. Single-threaded. Destroying it ends all calls; nothing is
-/// reported of them any more.
+/// Makes calls over persistent connections. Single-threaded. Destroying the client ends all calls
+/// without further callbacks.
 class HttpClient {
  public:
   explicit HttpClient(boost::asio::io_context& loop) : loop_(loop) {}
   ~HttpClient();
 
   /// Starts a call.
-  /// @param bytes the whole request, head and body.
+  /// @param bytes the complete request: head and body.
   CallPtr start(const Endpoint& endpoint, std::string bytes, const CallOptions& options,
                 CallObserver& observer);
 
-  /// Closes the kept connections of an endpoint.
+  /// Closes the idle persistent connections to an endpoint.
   void abandon_idle(const Endpoint& endpoint);
-  /// Closes kept connections to servers that `keep` does not name any more.
+  /// Closes idle persistent connections to servers that are not in `keep`.
   void retain(const std::function<bool(const Endpoint&)>& keep);
   /// Enforces timeouts; call several times a second.
   void tick(TimePoint now);
@@ -136,7 +136,7 @@
   boost::asio::io_context& loop_;
   std::map<Endpoint, std::vector<std::shared_ptr<ClientConnection>>> idle_;
   std::set<std::shared_ptr<ClientConnection>> connecting_;
-  std::set<ClientConnection*> connections_;  ///< All that exist.
+  std::set<ClientConnection*> connections_;  ///< All existing connections.
   ClientCounts counts_;
 };
 
@@ -147,12 +147,12 @@
   ~ClientConnection() override;
 
   void connect(const CallOptions& options, const CallPtr& call, TimePoint now);
-  /// Sends the request of `call` on an idle connection. @return false if no byte was taken.
+  /// Sends the request of `call` on an idle connection. @return false if no byte was accepted.
   bool send(const CallPtr& call);
   void abandon();
-  /// Closes the kept connections to the same endpoint.
+  /// Closes the idle persistent connections to the same endpoint.
   void abandon_idle_siblings();
-  /// Ends the connection and its call without a report: the client goes.
+  /// Ends the connection and its call without a callback, because the client is being destroyed.
   void orphan();
 
   void on_bytes(std::string_view bytes) override;
@@ -180,19 +180,19 @@
   CallPtr call_;
   std::unique_ptr<ResponseParser> parser_;
   std::string input_;
-  bool skipping_ = false;    ///< The answer under way belongs to another call.
-  bool keep_alive_ = true;   ///< As the answer under way says.
-  bool head_taken_ = false;  ///< The call's own head has come.
+  bool skipping_ = false;    ///< The current response belongs to another call.
+  bool keep_alive_ = true;   ///< Whether the current response allows reuse.
+  bool head_taken_ = false;  ///< The response head of this call has arrived.
   bool parsing_ = false;
   TimePoint connect_deadline_{};
   TimePoint idle_since_{};
   Duration server_idle_limit_ = std::chrono::hours(1);  ///< From the `Keep-Alive` header.
 };
 
-/// Collects a whole answer and hands it over once.
+/// Collects a complete response and delivers it once.
 class SimpleCall : public CallObserver, public std::enable_shared_from_this<SimpleCall> {
  public:
-  /// The answer; `failure` is set if there is none.
+  /// The response; `failure` is set if there is none.
   struct Outcome {
     std::optional<CallFailure> failure;
     ResponseHead head;
@@ -217,7 +217,7 @@
 
   struct Timer;
   std::shared_ptr<Timer> timer_;
-  std::shared_ptr<SimpleCall> self_;  ///< Keeps the call alive until it is over.
+  std::shared_ptr<SimpleCall> self_;  ///< Keeps this object alive until the call ends.
   CallPtr call_;
   Outcome outcome_;
   Done done_;
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -9,32 +9,32 @@
 /// HTTP/1.1 messages as plain values.
 namespace dockpoint::net {
 
-/// @return whether two header names are equal; their case does not matter.
+/// @return whether two header names are equal, ignoring case.
 bool equal_names(std::string_view left, std::string_view right);
 
-/// One header line.
+/// One header field.
 struct HeaderField {
   std::string name;
   std::string value;
 };
 
-/// Header lines in their order.
+/// Header fields in order of appearance.
 class Headers {
  public:
   Headers() = default;
   Headers(std::initializer_list<HeaderField> fields) : fields_(fields) {}
 
-  /// @return the value of the first line of that name, or null.
+  /// @return the value of the first field with that name, or null.
   const std::string* find(std::string_view name) const;
-  /// @return the value, or an empty text.
+  /// @return the value, or an empty string.
   std::string_view get(std::string_view name) const;
   bool has(std::string_view name) const { return find(name) != nullptr; }
 
   void add(std::string name, std::string value);
-  /// Replaces all lines of that name by one.
+  /// Replaces all fields with that name by a single one.
   void set(std::string_view name, std::string value);
   void erase(std::string_view name);
-  /// Removes what concerns a single connection only, what `Connection` names included.
+  /// Removes hop-by-hop headers, including those listed in `Connection`.
   void erase_connection_fields();
 
   const std::vector<HeaderField>& fields() const { return fields_; }
@@ -51,13 +51,13 @@
   bool keep_alive = true;
 };
 
-/// Status line and headers of an answer.
+/// Status line and headers of a response.
 struct ResponseHead {
   int status = 0;
   std::string reason;
   Headers headers;
   bool keep_alive = true;
-  bool ends_with_connection = false;  ///< The answer names no length and is not chunked.
+  bool ends_with_connection = false;  ///< No content length and not chunked.
 };
 
 /// @return the standard reason phrase.
@@ -76,7 +76,7 @@
   std::string query;
 
   static Target parse(std::string_view target);
-  /// @return the decoded value of a parameter of the query.
+  /// @return the decoded value of a query parameter.
   std::optional<std::string> parameter(std::string_view name) const;
 };
 
--- a/src/net/http_parser.cpp
+++ b/src/net/http_parser.cpp
@@ -9,10 +9,10 @@
 namespace http = boost::beast::http;
 namespace {
 
-/// Longest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 constexpr std::uint32_t kResponseHeaderLimit = 64 * 1024;
 
-/// Largest body that is reserved at once, in bytes.
+/// Maximum body size for which memory is reserved up front, in bytes.
 constexpr std::uint64_t kReserveLimit = 256 * 1024;
 
 ParseStatus status_of(const boost::beast::error_code& error) {
@@ -25,7 +25,7 @@
   return ParseStatus::kMalformed;
 }
 
-/// Feeds `parser` until it is done or has no use for the rest.
+/// Feeds `parser` until it is done or cannot consume the remaining bytes.
 template <class Parser>
 ParseStatus feed_parser(Parser& parser, std::string& buffer) {
   std::size_t consumed = 0;
--- a/src/net/http_parser.hpp
+++ b/src/net/http_parser.hpp
@@ -11,7 +11,7 @@
 /// Incremental parsing of HTTP/1.1 (Boost.Beast), fed with whatever bytes have arrived.
 namespace dockpoint::net {
 
-/// How far a parser came with the bytes that it was given.
+/// Progress of a parser after the bytes supplied so far.
 enum class ParseStatus {
   kNeedMore,
   kDone,
@@ -26,12 +26,12 @@
   /// @param header_limit, body_limit in bytes.
   RequestParser(std::uint32_t header_limit, std::uint64_t body_limit);
 
-  /// Takes bytes from the front of `buffer`, which keeps what belongs to the next request.
+  /// Consumes bytes from the front of `buffer`; bytes of the next request remain in it.
   ParseStatus feed(std::string& buffer);
 
   /// @return whether the head is complete.
   bool has_head() const { return is_header_done(); }
-  /// @return whether any byte was taken.
+  /// @return whether any byte was consumed.
   bool started() const { return started_; }
   RequestHead& head() { return head_; }
   std::string& body() { return body_; }
@@ -57,7 +57,7 @@
   bool started_ = false;
 };
 
-/// Parses one answer and passes its body on as it comes. Not thread-safe.
+/// Parses one response and forwards its body as it arrives. Not thread-safe.
 class ResponseParser : private boost::beast::http::basic_parser<false> {
  public:
   /// Called with a piece of the body.
@@ -67,10 +67,10 @@
 
   ResponseParser(HeadSink on_head, BodySink on_body);
 
-  /// Takes bytes from the front of `buffer`, which keeps what lies behind the answer.
+  /// Consumes bytes from the front of `buffer`; bytes after the response remain in it.
   ParseStatus feed(std::string& buffer);
-  /// Tells that the peer has closed its side.
-  /// @return whether the answer is complete with that.
+  /// Signals that the peer has closed its side of the connection.
+  /// @return whether this completes the response.
   bool feed_end();
 
   bool has_head() const { return is_header_done(); }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,19 +10,19 @@
 
 using ErrorCode = boost::system::error_code;
 
-/// Most bytes that a client may send ahead of the answer it waits for.
+/// Maximum number of pipelined bytes buffered while a response is pending.
 constexpr std::size_t kPipelineBytes = 256 * 1024;
 
-/// Status for a request that does not arrive in time.
+/// Status code for a request that times out before it is complete.
 constexpr int kRequestTimeout = 408;
 
-/// Backlog of connections that wait to be accepted.
+/// Listen backlog.
 constexpr int kBacklog = 1024;
 
-/// After this time without acknowledgement a client's machine counts as gone, in milliseconds.
+/// TCP_USER_TIMEOUT of client connections, in milliseconds.
 constexpr int kClientUserTimeoutMs = 8'000;
 
-/// Seconds after which an idle client connection is probed.
+/// Idle time before TCP keep-alive probes to a client, in seconds.
 constexpr int kClientKeepaliveSeconds = 5;
 
 int status_of(ParseStatus status) {
@@ -213,7 +213,7 @@
 
 void ServerConnection::parse() {
   if (parsing_) {
-    return;  // `finish` was called from within the handler; the loop below goes on.
+    return;  // `finish` was called from within the handler; the loop below continues.
   }
   parsing_ = true;
   while (!exchange_ && !input_.empty() && connection_->open()) {
@@ -303,7 +303,7 @@
     }
     return;
   }
-  // A body may take longer than a head, but not for ever.
+  // A body may take longer than a head, but its time is limited too.
   const Duration body_time = parser_->has_head() ? limits.idle_timeout : Duration{};
   if (age > limits.header_timeout + body_time) {
     refuse(kRequestTimeout);
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -12,21 +12,22 @@
 #include "net/http_parser.hpp"
 #include "net/tcp_connection.hpp"
 
-/// HTTP/1.1 server on the event loop.
+/// Event-loop HTTP/1.1 server.
 namespace dockpoint::net {
 
-/// Limits of what a client may send, and how long it may take.
+/// Size limits and timeouts for client requests.
 struct ServerLimits {
   std::uint32_t header_bytes = 16 * 1024;
   std::uint64_t body_bytes = 4 * 1024 * 1024;
-  Duration header_timeout = std::chrono::seconds(3);  ///< From the first byte to the whole request.
-  Duration idle_timeout = std::chrono::seconds(15);   ///< Between requests.
+  Duration header_timeout =
+      std::chrono::seconds(3);  ///< From the first byte to the complete request.
+  Duration idle_timeout = std::chrono::seconds(15);  ///< Between requests.
 };
 
 class ServerConnection;
 
-/// One request and the way to answer it. Exactly one answer may be given; later calls, and calls
-/// after the client has gone, do nothing.
+/// A request and its response. Only one response can be sent; later calls, and calls after the
+/// client has disconnected, have no effect.
 class Exchange {
  public:
   Exchange(std::weak_ptr<ServerConnection> connection, RequestHead head, std::string body,
@@ -36,25 +37,25 @@
   std::string& body() { return body_; }
   TimePoint received() const { return received_; }
 
-  /// Gives a whole answer.
+  /// Sends a complete response.
   void respond(int status, Headers headers, std::string_view body);
-  /// Begins an answer in chunks.
+  /// Starts a chunked response.
   void begin(ResponseHead head);
-  /// Adds to the answer that `begin` began.
+  /// Appends to the response started by `begin`.
   void write(std::string_view bytes);
-  /// Ends the answer that `begin` began.
+  /// Ends the response started by `begin`.
   void end();
-  /// Breaks the connection, so that the answer does not look complete.
+  /// Resets the connection, so that the client does not take the response as complete.
   void abort();
 
-  /// @return whether an answer was begun or given.
+  /// @return whether a response was started or sent.
   bool answered() const { return answered_; }
-  /// @return bytes of the answer that the client has not taken yet.
+  /// @return number of response bytes still queued for sending.
   std::size_t pending_output() const;
 
-  /// Called when the client closes the connection before the end of the answer.
+  /// Called when the client closes the connection before the end of the response.
   void on_client_gone(std::function<void()> callback) { client_gone_ = std::move(callback); }
-  /// Called when `pending_output` has fallen to zero after having been above it.
+  /// Called when `pending_output` drops from above zero to zero.
   void on_drained(std::function<void()> callback) { drained_ = std::move(callback); }
 
  private:
@@ -72,7 +73,7 @@
 
 using ExchangePtr = std::shared_ptr<Exchange>;
 
-/// Accepts connections and hands over each whole request. Single-threaded.
+/// Accepts connections and passes each complete request to the handler. Single-threaded.
 class HttpServer {
  public:
   using Handler = std::function<void(const ExchangePtr&)>;
@@ -80,21 +81,21 @@
   HttpServer(boost::asio::io_context& loop, Handler handler);
   ~HttpServer();
 
-  /// Begins to accept.
+  /// Starts accepting connections.
   /// @throws boost::system::system_error if the address cannot be bound.
   void listen(const std::string& address);
   void stop_accepting();
 
   void set_limits(const ServerLimits& limits) { limits_ = limits; }
-  /// From now on every answer asks the client to leave its connection.
+  /// From now on, every response asks the client to close its connection.
   void set_closing(bool closing) { closing_ = closing; }
-  /// Closes connections on which no request is under way.
+  /// Closes connections without a request in progress.
   void close_idle();
   /// Enforces timeouts; call a few times a second.
   void tick(TimePoint now);
 
   std::size_t connections() const { return connections_.size(); }
-  /// @return connections with a request under way.
+  /// @return number of connections with a request in progress.
   std::size_t active() const;
 
  private:
@@ -111,8 +112,8 @@
   std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
 };
 
-/// One connection of a client. Requests are handled one after another; what the client sends ahead
-/// is kept, up to a limit.
+/// A client connection. Requests are handled sequentially; pipelined input is buffered up to a
+/// limit.
 class ServerConnection : public TcpObserver, public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(HttpServer& server, tcp::socket socket);
@@ -121,7 +122,7 @@
   void tick(TimePoint now);
   void close();
   bool busy() const { return exchange_ != nullptr; }
-  /// @return whether no byte of a request has come since the last answer.
+  /// @return whether no request byte has arrived since the last response.
   bool idle() const { return !exchange_ && input_.empty() && !parser_->started(); }
 
   void on_bytes(std::string_view bytes) override;
@@ -136,9 +137,9 @@
   void dispatch();
   void refuse(int status);
   bool send(std::string_view bytes);
-  /// The answer to the current request is complete.
+  /// Called when the response to the current request is complete.
   void finish(bool keep_alive);
-  /// @return whether the connection stays after the current answer.
+  /// @return whether the connection stays open after the current response.
   bool keeps_alive() const;
   void drop();
 
@@ -150,7 +151,7 @@
   bool keep_alive_ = true;
   bool continue_sent_ = false;
   bool parsing_ = false;
-  TimePoint since_{};  ///< Of the first byte of the request, or of the last answer.
+  TimePoint since_{};  ///< Time of the first request byte or of the last response.
 };
 
 }  // namespace dockpoint::net
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -14,10 +14,10 @@
 
 using ErrorCode = boost::system::error_code;
 
-/// Most bytes taken by one read.
+/// Maximum number of bytes per read.
 constexpr std::size_t kReadBytes = 64 * 1024;
 
-/// All connections of the event loop read through one buffer.
+/// Read buffer shared by all connections of the event loop.
 std::array<char, kReadBytes>& read_buffer() {
   thread_local std::array<char, kReadBytes> buffer;
   return buffer;
--- a/src/net/tcp_connection.hpp
+++ b/src/net/tcp_connection.hpp
@@ -11,11 +11,11 @@
 
 using boost::asio::ip::tcp;
 
-/// Receives what happens on a connection.
+/// Receives the events of a connection.
 class TcpObserver {
  public:
   virtual ~TcpObserver() = default;
-  /// Bytes arrived. The view holds during the call only.
+  /// Called when bytes have arrived. The view is valid only during the call.
   virtual void on_bytes(std::string_view bytes) = 0;
   /// The peer closed its side (`clean`) or the connection broke. Called once, and not after a
   /// local `close` or `reset`.
@@ -33,9 +33,9 @@
  public:
   TcpConnection(tcp::socket socket, TcpObserver& observer);
 
-  /// Begins to report bytes.
+  /// Starts reading and reporting received bytes.
   void start();
-  /// Stops reading until `resume`; the peer is held up in time.
+  /// Stops reading until `resume`; TCP flow control eventually blocks the peer.
   void pause();
   void resume();
 
@@ -47,10 +47,10 @@
   void close_after_output();
   /// Closes the connection at once.
   void close();
-  /// Closes the connection so that the peer sees it broken.
+  /// Closes the connection with a reset, so that the peer sees an error.
   void reset();
 
-  /// No report reaches the observer after this.
+  /// Stops all further callbacks to the observer.
   void detach() { observer_ = nullptr; }
 
   bool open() const { return socket_.is_open(); }
--- a/tests/net/http_client_test.cpp
+++ b/tests/net/http_client_test.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint16_t kPort = 28'402;
 constexpr int kKeptConnections = 3;
 
-/// A server that answers, or takes requests and says nothing, and a client that calls it.
+/// A server that either responds or accepts requests without responding, and a client for it.
 struct Fixture {
   boost::asio::io_context loop{1};
   bool silent = false;
@@ -49,8 +49,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(http_client, Fixture)
 
-// All open connections of a node may go silent at once, for good, while new ones work. Each call
-// that took another kept one waited in vain for its whole time limit.
+// All open connections to a node may permanently stop responding at once while new ones work. Each
+// call that reused another of these connections waited for its full timeout.
 BOOST_AUTO_TEST_CASE(after_a_call_without_an_answer_no_other_kept_connection_is_used) {
   for (int calls = 0; calls < kKeptConnections; ++calls) {
     call();
--- a/tests/net/http_parser_test.cpp
+++ b/tests/net/http_parser_test.cpp
@@ -17,7 +17,7 @@
   std::string rest;
 };
 
-/// Parses a request that comes in pieces of `size` bytes.
+/// Parses a request that arrives in pieces of `size` bytes.
 Parsed parse_in_pieces(std::string_view bytes, std::size_t size) {
   RequestParser parser(kHeaderLimit, kBodyLimit);
   Parsed parsed;
