--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -111,7 +111,7 @@
     const auto candidate = connections.back();
     connections.pop_back();
     const Duration limit = std::min(maximum_idle, candidate->server_idle_limit_ - kIdleMargin);
-    if (now - candidate->idle_since_ <= limit && candidate->connection_->quiet()) {
+    if (now - candidate->idle_since_ <= limit && candidate->connection_->reusable()) {
       taken = candidate;
     } else {
       stale.push_back(candidate);
@@ -264,30 +264,30 @@
   call->connection_ = shared_from_this();
   call->sent_ = true;
   std::string().swap(call->bytes_);
-  head_taken_ = false;
-  begin_answer();
+  head_received_ = false;
+  begin_response();
   return true;
 }
 
-void ClientConnection::begin_answer() {
-  skipping_ = false;
+void ClientConnection::begin_response() {
+  skipping_response_ = false;
   keep_alive_ = true;
   parser_ = std::make_unique<ResponseParser>(
       [this](const ResponseHead& head) {
-        note_keep_alive(head);
+        update_keep_alive(head);
         const CallPtr call = call_;
-        skipping_ = !call || call->observer_ == nullptr || !call->observer_->on_head(head);
-        head_taken_ = head_taken_ || !skipping_;
+        skipping_response_ = !call || call->observer_ == nullptr || !call->observer_->on_head(head);
+        head_received_ = head_received_ || !skipping_response_;
       },
       [this](std::string_view bytes) {
         const CallPtr call = call_;
-        if (!skipping_ && call && call->observer_ != nullptr) {
+        if (!skipping_response_ && call && call->observer_ != nullptr) {
           call->observer_->on_body(bytes);
         }
       });
 }
 
-void ClientConnection::note_keep_alive(const ResponseHead& head) {
+void ClientConnection::update_keep_alive(const ResponseHead& head) {
   keep_alive_ = head.keep_alive;
   if (const auto limit = keep_alive_timeout(head.headers.get("Keep-Alive"))) {
     server_idle_limit_ = *limit;
@@ -315,10 +315,10 @@
       return;
     }
     if (status != ParseStatus::kDone) {
-      fail(head_taken_ ? CallFailure::kInterrupted : CallFailure::kMalformed);
+      fail(head_received_ ? CallFailure::kInterrupted : CallFailure::kMalformed);
       return;
     }
-    if (!skipping_ && parser_->head().status / 100 != 1) {
+    if (!skipping_response_ && parser_->head().status / 100 != 1) {
       complete();
       return;
     }
@@ -326,7 +326,7 @@
       fail(CallFailure::kNoAnswer);
       return;
     }
-    begin_answer();
+    begin_response();
   }
 }
 
@@ -350,12 +350,12 @@
     abandon();
     return;
   }
-  if (clean && parser_ && parser_->feed_end() && !skipping_) {
+  if (clean && parser_ && parser_->feed_end() && !skipping_response_) {
     keep_alive_ = false;
     complete();
     return;
   }
-  fail(head_taken_ ? CallFailure::kInterrupted : CallFailure::kNoAnswer);
+  fail(head_received_ ? CallFailure::kInterrupted : CallFailure::kNoAnswer);
 }
 
 void ClientConnection::fail(CallFailure failure) {
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -167,11 +167,11 @@
 
   void on_connected(const boost::system::error_code& error);
   void fail_connect();
-  void begin_answer();
+  void begin_response();
   void parse();
   void complete();
   void fail(CallFailure failure);
-  void note_keep_alive(const ResponseHead& head);
+  void update_keep_alive(const ResponseHead& head);
 
   HttpClient* client_;
   Endpoint endpoint_;
@@ -180,9 +180,9 @@
   CallPtr call_;
   std::unique_ptr<ResponseParser> parser_;
   std::string input_;
-  bool skipping_ = false;    ///< The current response belongs to another call.
-  bool keep_alive_ = true;   ///< Whether the current response allows reuse.
-  bool head_taken_ = false;  ///< The response head of this call has arrived.
+  bool skipping_response_ = false;  ///< The current response belongs to another call.
+  bool keep_alive_ = true;          ///< Whether the current response allows reuse.
+  bool head_received_ = false;      ///< The response head of this call has arrived.
   bool parsing_ = false;
   TimePoint connect_deadline_{};
   TimePoint idle_since_{};
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -63,11 +63,11 @@
 /// @return the standard reason phrase.
 std::string_view reason_phrase(int status);
 
-/// @return the bytes of the head; framing headers must be in `head` already.
+/// @return the serialized head; `head` must already contain the framing headers.
 std::string serialize(const RequestHead& head);
 std::string serialize(const ResponseHead& head);
 
-/// @return `bytes` as one chunk of a chunked body; the last chunk if empty.
+/// @return `bytes` encoded as one chunk of a chunked body; empty `bytes` give the last chunk.
 std::string as_chunk(std::string_view bytes);
 
 /// Path and query of a request target.
--- a/src/net/http_parser.hpp
+++ b/src/net/http_parser.hpp
@@ -8,7 +8,7 @@
 
 #include "net/http_message.hpp"
 
-/// Incremental parsing of HTTP/1.1 (Boost.Beast), fed with whatever bytes have arrived.
+/// Incremental HTTP/1.1 parsers based on Boost.Beast.
 namespace dockpoint::net {
 
 /// Progress of a parser after the bytes supplied so far.
@@ -20,7 +20,7 @@
   kMalformed,
 };
 
-/// Parses one request and keeps its body. Not thread-safe.
+/// Parses one request and buffers its body. Not thread-safe.
 class RequestParser : private boost::beast::http::basic_parser<true> {
  public:
   /// @param header_limit, body_limit in bytes.
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -11,10 +11,10 @@
 using ErrorCode = boost::system::error_code;
 
 /// Maximum number of pipelined bytes buffered while a response is pending.
-constexpr std::size_t kPipelineBytes = 256 * 1024;
+constexpr std::size_t kMaximumPipelinedBytes = 256 * 1024;
 
 /// Status code for a request that times out before it is complete.
-constexpr int kRequestTimeout = 408;
+constexpr int kRequestTimeoutStatus = 408;
 
 /// Listen backlog.
 constexpr int kBacklog = 1024;
@@ -182,7 +182,7 @@
 ServerConnection::ServerConnection(HttpServer& server, tcp::socket socket)
     : server_(&server),
       connection_(std::make_shared<TcpConnection>(std::move(socket), *this)),
-      since_(steady_now()) {
+      timeout_start_(steady_now()) {
   new_parser();
 }
 
@@ -199,11 +199,11 @@
 void ServerConnection::on_bytes(std::string_view bytes) {
   const auto self = shared_from_this();
   if (idle()) {
-    since_ = steady_now();
+    timeout_start_ = steady_now();
   }
   input_.append(bytes);
   if (exchange_) {
-    if (input_.size() > kPipelineBytes) {
+    if (input_.size() > kMaximumPipelinedBytes) {
       connection_->pause();
     }
     return;
@@ -261,7 +261,7 @@
 void ServerConnection::finish(bool keep_alive) {
   const auto self = shared_from_this();
   exchange_.reset();
-  since_ = steady_now();
+  timeout_start_ = steady_now();
   if (!keep_alive) {
     connection_->close_after_output();
     drop();
@@ -295,7 +295,7 @@
   if (exchange_) {
     return;
   }
-  const Duration age = now - since_;
+  const Duration age = now - timeout_start_;
   const ServerLimits& limits = server_->limits_;
   if (idle()) {
     if (age > limits.idle_timeout) {
@@ -306,7 +306,7 @@
   // A body may take longer than a head, but its time is limited too.
   const Duration body_time = parser_->has_head() ? limits.idle_timeout : Duration{};
   if (age > limits.header_timeout + body_time) {
-    refuse(kRequestTimeout);
+    refuse(kRequestTimeoutStatus);
   }
 }
 
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -151,7 +151,7 @@
   bool keep_alive_ = true;
   bool continue_sent_ = false;
   bool parsing_ = false;
-  TimePoint since_{};  ///< Time of the first request byte or of the last response.
+  TimePoint timeout_start_{};  ///< Time of the first request byte or of the last response.
 };
 
 }  // namespace dockpoint::net
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -142,7 +142,7 @@
   }
 }
 
-bool TcpConnection::quiet() {
+bool TcpConnection::reusable() {
   if (!socket_.is_open()) {
     return false;
   }
--- a/src/net/tcp_connection.hpp
+++ b/src/net/tcp_connection.hpp
@@ -17,18 +17,18 @@
   virtual ~TcpObserver() = default;
   /// Called when bytes have arrived. The view is valid only during the call.
   virtual void on_bytes(std::string_view bytes) = 0;
-  /// The peer closed its side (`clean`) or the connection broke. Called once, and not after a
-  /// local `close` or `reset`.
+  /// Called once when the peer has closed its side (`clean`) or the connection has failed; not
+  /// called after a local `close` or `reset`.
   virtual void on_closed(bool clean) = 0;
-  /// Output that was held up has been written; `pending_output` has fallen to zero.
+  /// Called when all queued output has been written and `pending_output` is zero again.
   virtual void on_drained() = 0;
 };
 
-/// Non-blocking reads and writes of one socket. Reads need no memory while nothing arrives; output
-/// that the peer does not take is queued, and the observer is told when it is gone.
+/// Non-blocking reads and writes on one socket. An idle connection holds no read buffer; output
+/// that the socket does not accept is queued, and the observer is notified when the queue is empty.
 ///
-/// Single-threaded: used on the thread of its event loop only. Its observer must outlive it or
-/// call `detach`.
+/// Single-threaded: used only on the thread of its event loop. The observer must outlive the
+/// connection or call `detach`.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
  public:
   TcpConnection(tcp::socket socket, TcpObserver& observer);
@@ -39,13 +39,13 @@
   void pause();
   void resume();
 
-  /// Sends bytes, at once as far as the socket takes them.
-  /// @return whether the connection still stands; if not, none of `bytes` was taken.
+  /// Writes as many bytes as the socket accepts and queues the rest.
+  /// @return whether the connection is still open; if not, none of `bytes` was accepted.
   bool send(std::string_view bytes);
 
   /// Closes the connection once all output is written.
   void close_after_output();
-  /// Closes the connection at once.
+  /// Closes the connection immediately.
   void close();
   /// Closes the connection with a reset, so that the peer sees an error.
   void reset();
@@ -54,8 +54,8 @@
   void detach() { observer_ = nullptr; }
 
   bool open() const { return socket_.is_open(); }
-  /// @return whether the connection stands and nothing has arrived that was not read yet.
-  bool quiet();
+  /// @return whether the connection is open and has no unread input.
+  bool reusable();
   std::size_t pending_output() const { return output_.size(); }
 
  private:
@@ -74,10 +74,10 @@
   bool closing_ = false;
 };
 
-/// Time after which data that the peer's machine does not acknowledge breaks the connection.
+/// Sets TCP_USER_TIMEOUT: the connection fails if sent data stays unacknowledged for this time.
 void set_user_timeout(tcp::socket& socket, int milliseconds);
 
-/// Probes of an idle connection: after `idle_seconds`, then every second, three times.
+/// Enables TCP keep-alive: probes after `idle_seconds` of idleness, then every second, three times.
 void set_keepalive(tcp::socket& socket, int idle_seconds);
 
 }  // namespace dockpoint::net
--- a/tests/net/http_client_test.cpp
+++ b/tests/net/http_client_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint16_t kPort = 28'402;
-constexpr int kKeptConnections = 3;
+constexpr int kIdleConnections = 3;
 
 /// A server that either responds or accepts requests without responding, and a client for it.
 struct Fixture {
@@ -51,22 +51,22 @@
 
 // All open connections to a node may permanently stop responding at once while new ones work. Each
 // call that reused another of these connections waited for its full timeout.
-BOOST_AUTO_TEST_CASE(after_a_call_without_an_answer_no_other_kept_connection_is_used) {
-  for (int calls = 0; calls < kKeptConnections; ++calls) {
+BOOST_AUTO_TEST_CASE(a_timed_out_call_closes_the_other_idle_connections) {
+  for (int calls = 0; calls < kIdleConnections; ++calls) {
     call();
   }
-  run_until_ended(kKeptConnections);
-  BOOST_TEST(client.counts().connections == std::uint64_t{kKeptConnections});
+  run_until_ended(kIdleConnections);
+  BOOST_TEST(client.counts().connections == std::uint64_t{kIdleConnections});
   silent = true;
   call();
-  run_until_ended(kKeptConnections + 1);
+  run_until_ended(kIdleConnections + 1);
   BOOST_TEST(failed == 1);
-  BOOST_TEST(client.counts().connections == std::uint64_t{kKeptConnections});
+  BOOST_TEST(client.counts().connections == std::uint64_t{kIdleConnections});
   silent = false;
   call();
-  run_until_ended(kKeptConnections + 2);
-  BOOST_TEST(answered == kKeptConnections + 1);
-  BOOST_TEST(client.counts().connections == std::uint64_t{kKeptConnections + 1});
+  run_until_ended(kIdleConnections + 2);
+  BOOST_TEST(answered == kIdleConnections + 1);
+  BOOST_TEST(client.counts().connections == std::uint64_t{kIdleConnections + 1});
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/net/http_parser_test.cpp
+++ b/tests/net/http_parser_test.cpp
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(http_parser)
 
-BOOST_AUTO_TEST_CASE(a_request_is_the_same_however_its_bytes_are_cut) {
+BOOST_AUTO_TEST_CASE(requests_parse_identically_for_every_fragmentation) {
   const std::string by_length =
       "POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhelloGET /";
   const std::string by_chunks =
@@ -61,7 +61,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(limits_hold) {
+BOOST_AUTO_TEST_CASE(oversized_headers_and_bodies_are_rejected) {
   const std::string long_field = "GET / HTTP/1.1\r\nX: " + std::string(2'000, 'x') + "\r\n\r\n";
   BOOST_TEST((status_of(long_field) == ParseStatus::kHeaderTooLarge));
   BOOST_TEST(
@@ -70,7 +70,7 @@
                         std::string(0x50, 'x') + "\r\n0\r\n\r\n") == ParseStatus::kBodyTooLarge));
 }
 
-BOOST_AUTO_TEST_CASE(requests_that_two_parsers_could_read_differently_are_refused) {
+BOOST_AUTO_TEST_CASE(ambiguously_framed_requests_are_rejected) {
   for (const char* head : {
            "Content-Length: 5\r\nContent-Length: 6\r\n",
            "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -89,7 +89,7 @@
   BOOST_TEST((status_of("GET / HTTP/9.9\r\n\r\n") == ParseStatus::kMalformed));
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_without_length_ends_with_its_connection) {
+BOOST_AUTO_TEST_CASE(a_response_without_length_ends_at_connection_close) {
   std::string body;
   ResponseHead head;
   ResponseParser parser([&](const ResponseHead& seen) { head = seen; },
@@ -102,7 +102,7 @@
   BOOST_TEST(body == "abc");
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_that_is_cut_is_not_complete) {
+BOOST_AUTO_TEST_CASE(a_truncated_response_is_incomplete) {
   for (const char* bytes :
        {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", "HTTP/1.1 200 O"}) {
@@ -113,7 +113,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(mutated_requests_neither_crash_nor_pass_the_limits) {
+BOOST_AUTO_TEST_CASE(mutated_requests_neither_crash_nor_exceed_the_body_limit) {
   constexpr int kRounds = 30'000;
   const std::string seed =
       "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nX: "
