--- a/src/http/admin_handler.cpp
+++ b/src/http/admin_handler.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::size_t kMaximumConfigurationBytes = 8 * 1024 * 1024;
-constexpr std::chrono::milliseconds kConfigurationWait{10'000};
+constexpr std::chrono::milliseconds kConfigurationTimeout{10'000};
 
 std::string random_change_id() {
   thread_local std::mt19937_64 random{std::random_device{}()};
@@ -147,7 +147,7 @@
         std::move(change), [outcome](const ChangeOutcome& value) { outcome->set_value(value); });
     return true;
   });
-  if (confirmed.wait_for(kConfigurationWait) != std::future_status::ready) {
+  if (confirmed.wait_for(kConfigurationTimeout) != std::future_status::ready) {
     return fail(Error{ResultCode::kPlatformUnavailable,
                       "the log did not confirm in time; ask for the history before applying again",
                       {},
--- a/src/http/admin_handler.hpp
+++ b/src/http/admin_handler.hpp
@@ -9,7 +9,7 @@
 
 namespace dockpoint {
 
-/// Serves `/admin/v1/*`, what operators see and change.
+/// Serves the operator interface under `/admin/v1/`.
 class AdminHandler {
  public:
   explicit AdminHandler(ControlLoop& control) : control_(control) {}
--- a/src/http/api_server.cpp
+++ b/src/http/api_server.cpp
@@ -27,7 +27,8 @@
                std::chrono::seconds(1)};
 }
 
-void refuse_method(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response) {
+void send_method_not_allowed(Poco::Net::HTTPServerRequest& request,
+                             Poco::Net::HTTPServerResponse& response) {
   send_error(response,
              Error{ResultCode::kMethodNotAllowed,
                    request.getMethod() + " is not served on this path", path_of(request.getURI())});
@@ -107,14 +108,14 @@
 bool ApiServer::handle_online(const std::string& path, Request& request, Response& response) {
   std::string id;
   if (path == "/v1/models" || split_prefix(path, "/v1/models/", id)) {
-    is_get(request) ? list_models(id, response) : refuse_method(request, response);
+    is_get(request) ? list_models(id, response) : send_method_not_allowed(request, response);
     return true;
   }
   if (path != kChatPath && path != kTextPath) {
     return false;
   }
   if (!is_post(request)) {
-    refuse_method(request, response);
+    send_method_not_allowed(request, response);
   } else if (draining_) {
     send_error(response, draining_error());
   } else {
@@ -149,7 +150,7 @@
 bool ApiServer::handle_files(const std::string& path, Request& request, Response& response) {
   if (path == "/v1/files") {
     if (!is_post(request)) {
-      refuse_method(request, response);
+      send_method_not_allowed(request, response);
     } else if (draining_) {
       send_error(response, draining_error());
     } else {
@@ -162,7 +163,7 @@
     return false;
   }
   if (!is_get(request)) {
-    refuse_method(request, response);
+    send_method_not_allowed(request, response);
     return true;
   }
   const std::size_t slash = rest.find('/');
@@ -185,7 +186,7 @@
     if (is_get(request)) {
       batches_.list(request, response);
     } else if (!is_post(request)) {
-      refuse_method(request, response);
+      send_method_not_allowed(request, response);
     } else if (draining_) {
       send_error(response, draining_error());
     } else {
@@ -205,7 +206,7 @@
   } else if (action == "cancel" && is_post(request)) {
     batches_.cancel(id, request, response);
   } else if (action.empty() || action == "cancel") {
-    refuse_method(request, response);
+    send_method_not_allowed(request, response);
   } else {
     return false;
   }
@@ -234,7 +235,7 @@
       drain_requested_ = true;
       send_json(response, kOkStatus, R"({"draining":true})");
     } else {
-      refuse_method(request, response);
+      send_method_not_allowed(request, response);
     }
   } else {
     return false;
--- a/src/http/api_server.hpp
+++ b/src/http/api_server.hpp
@@ -12,11 +12,11 @@
 
 namespace dockpoint {
 
-/// The HTTP interface of a node: routes each request to the handler of its path. While the node
-/// drains, new work is refused as not run and requests in progress go on.
+/// HTTP interface of a node: routes each request to the handler for its path. While the node is
+/// draining, new work is rejected as not run and requests in progress continue.
 class ApiServer : public Part {
  public:
-  /// What the handlers work with; all outlive the server.
+  /// Dependencies of the handlers; not owned, must outlive the server.
   struct Dependencies {
     ControlLoop& control;
     OnlineCalls& online_calls;
@@ -35,9 +35,9 @@
   void run(std::stop_token stop) override;
 
   void begin_drain() { draining_ = true; }
-  /// @return whether an operator asked for a drain through the interface.
+  /// @return whether an operator has requested a drain through the admin interface.
   bool drain_requested() const { return drain_requested_; }
-  /// @return requests in progress, of any kind.
+  /// @return number of requests in progress, excluding health checks and metrics.
   int requests_in_progress() const { return requests_in_progress_; }
 
  private:
--- a/src/http/batch_handler.cpp
+++ b/src/http/batch_handler.cpp
@@ -16,20 +16,20 @@
 namespace {
 
 constexpr std::size_t kMaximumBodyBytes = 256 * 1024;
-constexpr std::chrono::milliseconds kJobWait{5'000};
+constexpr std::chrono::milliseconds kJobRecordTimeout{5'000};
 constexpr std::size_t kResultPageRecords = 1000;
 constexpr std::size_t kDefaultListLength = 20;
 constexpr std::size_t kMaximumListLength = 100;
 constexpr std::string_view kOutputPrefix = "file-output-";
 constexpr std::string_view kErrorPrefix = "file-error-";
 
-/// @return the job id in the id of an output or error file.
-std::string job_of_output(const std::string& file_id) {
+/// @return the job id contained in the id of an output or error file.
+std::string job_id_of_output_file(const std::string& file_id) {
   const std::string_view prefix = file_id.starts_with(kOutputPrefix) ? kOutputPrefix : kErrorPrefix;
   return file_id.substr(prefix.size());
 }
 
-std::string random_unique() {
+std::string random_idempotency_key() {
   thread_local std::mt19937_64 random{std::random_device{}()};
   return hash128_hex(std::to_string(random()) + "-" + std::to_string(random()));
 }
@@ -46,7 +46,7 @@
   return "in_progress";
 }
 
-Poco::Dynamic::Var parsed_or_text(const std::string& json) {
+Poco::Dynamic::Var parse_json_or_text(const std::string& json) {
   try {
     return Poco::JSON::Parser().parse(json);
   } catch (const Poco::Exception&) {
@@ -63,12 +63,12 @@
     Poco::JSON::Object::Ptr response = new Poco::JSON::Object;
     response->set("status_code", completed.status);
     response->set("request_id", id);
-    response->set("body", parsed_or_text(completed.body));
+    response->set("body", parse_json_or_text(completed.body));
     line.set("response", response);
     line.set("error", Poco::Dynamic::Var());
   } else {
     line.set("response", Poco::Dynamic::Var());
-    line.set("error", parsed_or_text(completed.body));
+    line.set("error", parse_json_or_text(completed.body));
   }
   return to_json(line);
 }
@@ -170,11 +170,11 @@
                   "the file holds more than " + std::to_string(config->limits.maximum_batch_items) +
                       " items");
     }
-    // The same key gives the same id on every node, so a resent job is recognized anywhere. A node
-    // that passes the request on fixes the id, so that it stays the same on the way.
+    // The job id is derived from the idempotency key, so that every node recognizes a resubmitted
+    // job. A missing key is generated before forwarding, so that the owner derives the same id.
     std::string key = request.get(kIdempotencyHeader, "");
     if (key.empty()) {
-      key = random_unique();
+      key = random_idempotency_key();
       request.set(kIdempotencyHeader, key);
     }
     const std::string unique = hash128_hex(job.tenant + "\n" + key);
@@ -203,7 +203,7 @@
   if (refused) {
     return fail(*refused);
   }
-  if (confirmed.wait_for(kJobWait) != std::future_status::ready) {
+  if (confirmed.wait_for(kJobRecordTimeout) != std::future_status::ready) {
     return fail(Error{ResultCode::kPlatformUnavailable,
                       "the log did not confirm in time; resend with the same Idempotency-Key",
                       {},
@@ -286,7 +286,7 @@
   if (refused) {
     return fail(*refused);
   }
-  if (confirmed.wait_for(kJobWait) != std::future_status::ready) {
+  if (confirmed.wait_for(kJobRecordTimeout) != std::future_status::ready) {
     return fail(Error{ResultCode::kPlatformUnavailable,
                       "the log did not confirm in time",
                       {},
@@ -299,10 +299,10 @@
 void BatchHandler::list(Poco::Net::HTTPServerRequest& request,
                         Poco::Net::HTTPServerResponse& response) {
   const std::string tenant = tenant_of(request);
-  const std::string asked_limit = query_parameter(request.getURI(), "limit");
-  std::size_t limit = std::strtoul(asked_limit.c_str(), nullptr, 10);
-  limit = asked_limit.empty() ? kDefaultListLength
-                              : std::clamp<std::size_t>(limit, 1, kMaximumListLength);
+  const std::string requested_limit = query_parameter(request.getURI(), "limit");
+  std::size_t limit = std::strtoul(requested_limit.c_str(), nullptr, 10);
+  limit = requested_limit.empty() ? kDefaultListLength
+                                  : std::clamp<std::size_t>(limit, 1, kMaximumListLength);
   const std::string after = query_parameter(request.getURI(), "after");
   using Entry = std::pair<std::int64_t, Poco::JSON::Object::Ptr>;
   std::vector<Entry> entries = control_.call([&](NodeController& controller, TimePoint) {
@@ -313,8 +313,9 @@
     return own;
   });
   if (!request.has(kForwardedHeader)) {
-    for (const std::string& body : peers_.ask_all("/peer/v1/batches", {{kTenantHeader, tenant}})) {
-      const Poco::Dynamic::Var parsed = parsed_or_text(body);
+    for (const std::string& body :
+         peers_.query_peers("/peer/v1/batches", {{kTenantHeader, tenant}})) {
+      const Poco::Dynamic::Var parsed = parse_json_or_text(body);
       if (parsed.type() != typeid(Poco::JSON::Object::Ptr)) {
         continue;
       }
@@ -359,7 +360,7 @@
 void BatchHandler::describe_output(const std::string& file_id,
                                    Poco::Net::HTTPServerRequest& request,
                                    Poco::Net::HTTPServerResponse& response) {
-  const std::string id = job_of_output(file_id);
+  const std::string id = job_id_of_output_file(file_id);
   if (forward(id, "", request, response)) {
     return;
   }
@@ -383,7 +384,7 @@
 
 void BatchHandler::output_content(const std::string& file_id, Poco::Net::HTTPServerRequest& request,
                                   Poco::Net::HTTPServerResponse& response) {
-  const std::string id = job_of_output(file_id);
+  const std::string id = job_id_of_output_file(file_id);
   if (forward(id, "", request, response)) {
     return;
   }
--- a/src/http/batch_handler.hpp
+++ b/src/http/batch_handler.hpp
@@ -12,8 +12,8 @@
 
 namespace dockpoint {
 
-/// Serves `/v1/batches` and the output files of batches. Requests that concern one batch go to the
-/// owner of its partition.
+/// Serves `/v1/batches` and the output files of batches. A request for a single batch is forwarded
+/// to the owner of its partition.
 class BatchHandler {
  public:
   BatchHandler(ControlLoop& control, FileStore& files, LogClient& log, PeerRequests& peers);
@@ -25,7 +25,7 @@
               Poco::Net::HTTPServerResponse& response);
   void list(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response);
 
-  /// @return whether `file_id` names the output or error file of a batch.
+  /// @return whether `file_id` identifies the output or error file of a batch.
   static bool is_output_file(const std::string& file_id);
   void describe_output(const std::string& file_id, Poco::Net::HTTPServerRequest& request,
                        Poco::Net::HTTPServerResponse& response);
@@ -35,12 +35,13 @@
  private:
   Result<JobSpec> read_job(const std::string& body, const Poco::Net::HTTPServerRequest& request);
   Result<JobState> accept(const JobSpec& job);
-  /// How much of a job's state to copy off the control thread.
+  /// Amount of job state to copy from the control thread.
   enum class Detail { kSummary, kWithResults };
   Result<JobState> find(const std::string& id, Detail detail = Detail::kSummary);
   Result<JobState> stop(const std::string& id);
   int partition(const std::string& id);
-  /// Passes the request on if another node owns the batch. @return whether it did or refused.
+  /// Forwards the request if another node owns the batch.
+  /// @return whether the request was forwarded or rejected, so that a response has been sent.
   bool forward(const std::string& id, const std::string& body,
                Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response);
   Result<void> write_results(const JobState& job, bool failures, std::ostream& out);
@@ -51,7 +52,7 @@
   PeerRequests& peers_;
 };
 
-/// @return the batch as the OpenAI API shows it.
+/// @return the batch object in the format of the OpenAI API.
 Poco::JSON::Object::Ptr batch_json(const JobState& job);
 
 }  // namespace dockpoint
--- a/src/http/batch_request.cpp
+++ b/src/http/batch_request.cpp
@@ -13,14 +13,15 @@
 
 constexpr std::size_t kMaximumMetadata = 16;
 
-/// Metadata keys that steer the job; docs/API.md describes them.
+/// Metadata keys that set job options; see docs/API.md.
 constexpr const char* kSelectorKey = "dockpoint.selector";
 constexpr const char* kPriorityKey = "dockpoint.priority";
 constexpr const char* kRepeatableKey = "dockpoint.repeatable";
 
-/// Reads `24h`, `90m` or `30s`. @return seconds, or 0 if it is something else.
+/// Parses a duration such as `24h`, `90m` or `30s`.
+/// @return seconds, or 0 if the text is invalid or exceeds the maximum.
 std::int64_t parse_window(const std::string& text) {
-  constexpr std::int64_t kLongestWindow = 14 * 24 * 3600;
+  constexpr std::int64_t kMaximumWindowSeconds = 14 * 24 * 3600;
   if (text.size() < 2 || text.size() > 8 ||
       !std::all_of(text.begin(), text.end() - 1, [](char c) { return c >= '0' && c <= '9'; })) {
     return 0;
@@ -31,7 +32,7 @@
                             : text.back() == 's' ? 1
                                                  : 0;
   const std::int64_t seconds = number * unit;
-  return seconds <= kLongestWindow ? seconds : 0;
+  return seconds <= kMaximumWindowSeconds ? seconds : 0;
 }
 
 std::map<std::string, std::string> read_metadata(ObjectReader reader, Problems& problems) {
@@ -45,8 +46,8 @@
   return metadata;
 }
 
-/// Takes dockpoint's own keys out of the metadata's values into the job.
-void read_steering(JobSpec& job, Problems& problems) {
+/// Sets the job options from dockpoint's own metadata keys.
+void read_job_options(JobSpec& job, Problems& problems) {
   const auto value = [&job](const char* key, const std::string& fallback) {
     const auto found = job.metadata.find(key);
     return found == job.metadata.end() ? fallback : found->second;
@@ -93,7 +94,7 @@
     reader.report("completion_window", "must be a time such as 24h, 90m or 30s, up to 336h");
   }
   job.metadata = read_metadata(reader.object("metadata"), problems);
-  read_steering(job, problems);
+  read_job_options(job, problems);
   if (!problems.empty()) {
     return fail(ResultCode::kInvalidField, summarize(problems), problems.front().place);
   }
--- a/src/http/batch_request.hpp
+++ b/src/http/batch_request.hpp
@@ -7,8 +7,8 @@
 
 namespace dockpoint {
 
-/// Reads and checks the body of `POST /v1/batches`. What follows from the input file (service,
-/// number of items) and from the caller (tenant, id) is left open.
+/// Parses and validates the body of `POST /v1/batches`. Fields derived from the input file
+/// (service, number of items) and from the caller (tenant, id) are not set.
 Result<JobSpec> parse_batch_request(const std::string& body);
 
 }  // namespace dockpoint
--- a/src/http/completion_request.cpp
+++ b/src/http/completion_request.cpp
@@ -11,10 +11,11 @@
 constexpr int kBytesPerToken = 4;
 constexpr int kMaximumAnswerTokens = 131'072;
 constexpr int kDefaultAnswerTokens = 128;
-/// Prompts without a system message share at most their beginning.
+/// Number of prompt bytes hashed as the prefix when there is no system message: such prompts share
+/// at most their beginning.
 constexpr std::size_t kPrefixBytes = 256;
 
-/// Reads one message's text: a string, or parts of which those with text count.
+/// Reads the text of a message: a string, or the concatenated text of its parts.
 std::string message_text(ObjectReader& message) {
   if (!message.is_array("content")) {
     return message.text("content");
--- a/src/http/completion_request.hpp
+++ b/src/http/completion_request.hpp
@@ -7,28 +7,28 @@
 
 namespace dockpoint {
 
-/// Which of the two completion interfaces a request uses.
+/// Completion endpoint used by a request.
 enum class CompletionKind { kChat, kText };
 
-/// What dockpoint and the emulator read from the body of a completion request. Everything else in
-/// the body is passed on unread.
+/// Fields that dockpoint and the emulator read from the body of a completion request. All other
+/// fields are forwarded without being interpreted.
 struct CompletionRequest {
   CompletionKind kind = CompletionKind::kChat;
   std::string model;
-  std::string prompt;            ///< All text that the model reads.
-  std::uint64_t prefix_key = 0;  ///< Hash of the part that requests are likely to share.
+  std::string prompt;            ///< Complete input text of the model.
+  std::uint64_t prefix_key = 0;  ///< Hash of the prompt prefix that requests are likely to share.
   bool stream = false;
   int maximum_tokens = 0;       ///< 0: the engine's default.
-  double estimated_tokens = 0;  ///< Prompt and answer.
+  double estimated_tokens = 0;  ///< Prompt and completion tokens.
 };
 
 inline constexpr std::string_view kChatPath = "/v1/chat/completions";
 inline constexpr std::string_view kTextPath = "/v1/completions";
 
-/// Reads and checks a body; the error names the field at fault.
+/// Parses and validates a body; the error names the invalid field.
 Result<CompletionRequest> parse_completion_request(const std::string& body, CompletionKind kind);
 
-/// @return the number of tokens that the text is estimated to have.
+/// @return the estimated number of tokens in the text.
 int estimate_tokens(std::string_view text);
 
 }  // namespace dockpoint
--- a/src/http/engine_protocol.cpp
+++ b/src/http/engine_protocol.cpp
@@ -8,8 +8,8 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kFirstServerError = 500;
 
-/// @return whether the answer says `{"error":{"run":"not_run"}}`.
-bool says_not_run(const std::string& body) {
+/// @return whether the response body contains `{"error":{"run":"not_run"}}`.
+bool reports_not_run(const std::string& body) {
   bool not_run = false;
   error_of([&]() -> Result<void> {
     BOOST_LEAF_AUTO(object, parse_json_object(body));
@@ -30,7 +30,7 @@
   if (answer.status < kFirstServerError && answer.status != kTooManyRequests) {
     return EngineAnswer::kFinal;
   }
-  const bool not_run = answer.status == kTooManyRequests || says_not_run(answer.body);
+  const bool not_run = answer.status == kTooManyRequests || reports_not_run(answer.body);
   return not_run ? EngineAnswer::kNotRun : EngineAnswer::kUnknown;
 }
 
@@ -39,8 +39,8 @@
   Problems problems;
   ObjectReader reader(object, "", problems);
   const auto count = [&reader](const char* key) {
-    constexpr std::int64_t kLargestCount = 1'000'000;
-    return static_cast<std::uint32_t>(reader.integer(key, {0, kLargestCount}, 0));
+    constexpr std::int64_t kMaximumCount = 1'000'000;
+    return static_cast<std::uint32_t>(reader.integer(key, {0, kMaximumCount}, 0));
   };
   EngineLoad load;
   load.incarnation = static_cast<std::uint64_t>(reader.required_integer("incarnation", {}));
--- a/src/http/engine_protocol.hpp
+++ b/src/http/engine_protocol.hpp
@@ -5,7 +5,7 @@
 #include "dockpoint/routing/engine_load.hpp"
 #include "http/http_session.hpp"
 
-/// What dockpoint says to engines and reads from them, beyond the OpenAI-compatible paths.
+/// Engine protocol extensions beyond the OpenAI-compatible API.
 namespace dockpoint {
 
 inline constexpr const char* kRequestIdHeader = "x-request-id";
@@ -14,17 +14,17 @@
 inline constexpr const char* kEpochHeader = "x-fencing-epoch";
 inline constexpr const char* kResumeHeader = "x-resume-from";  ///< Index of the next token.
 
-/// What an engine's whole answer means for the request.
+/// Classification of an engine's complete response.
 enum class EngineAnswer {
-  kFinal,    ///< A success, or an error that another attempt would not change.
-  kNotRun,   ///< The engine says that it did not run the request.
+  kFinal,    ///< Success, or an error that a retry would not change.
+  kNotRun,   ///< The engine reports that it did not run the request.
   kUnknown,  ///< The engine failed; the request may have run.
 };
 
-/// @param request_id that was sent; an answer to another request counts as lost.
+/// @param request_id the id sent with the request; a response with another id counts as lost.
 EngineAnswer classify_answer(const HttpAnswer& answer, const std::string& request_id);
 
-/// Reads the answer of `GET /load`.
+/// Parses the response to `GET /load`.
 Result<EngineLoad> parse_engine_load(const std::string& json);
 
 }  // namespace dockpoint
--- a/src/http/engine_stream.hpp
+++ b/src/http/engine_stream.hpp
@@ -7,27 +7,27 @@
 
 namespace dockpoint {
 
-/// One streamed request to an engine, from sending it to its last event.
+/// A streaming request to an engine, from sending the request to the last event.
 class EngineStream {
  public:
-  /// How opening or reading went.
+  /// Result of opening or reading the stream.
   enum class Status {
     kOk,
     kNotSent,   ///< No connection could be made.
-    kAnswered,  ///< The engine answered with something other than a stream; see `answer`.
+    kAnswered,  ///< The engine sent a response that is not an event stream; see `answer`.
     kEnd,       ///< The stream is complete.
-    kBroken,    ///< The connection broke, timed out or carries another request's answer.
+    kBroken,    ///< Connection failure, timeout, or a response to another request.
   };
 
   EngineStream(HttpSessionPool& sessions, std::string address);
 
-  /// Sends the request and reads the head of the answer.
+  /// Sends the request and reads the response head.
   Status open(const HttpExchange& request, const std::string& request_id);
 
-  /// Reads the next event's data into `data`.
+  /// Reads the data of the next event into `data`.
   Status next(std::string& data);
 
-  /// Gives the connection back if it was read to its end.
+  /// Reads the rest of the response and returns the connection to the pool.
   void close();
 
   const HttpAnswer& answer() const { return answer_; }
--- a/src/http/file_handler.cpp
+++ b/src/http/file_handler.cpp
@@ -17,7 +17,7 @@
 
 constexpr const char* kPurpose = "batch";
 
-/// Writes the form's file to the store as it arrives.
+/// Streams the uploaded file of the form to the file store.
 class UploadPart : public Poco::Net::PartHandler {
  public:
   UploadPart(FileStore& files, std::uint64_t maximum_bytes)
@@ -36,7 +36,7 @@
         return {};
       });
     }
-    // What is left must be read, or the next part cannot be found.
+    // The rest of this part must be consumed before the next part can be parsed.
     std::array<char, 16 * 1024> rest{};
     while (in.read(rest.data(), rest.size()) || in.gcount() > 0) {
     }
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -106,7 +106,7 @@
       }
     }
   } catch (const Poco::Exception&) {
-    // A query that cannot be read has no parameters.
+    // A malformed query is treated as having no parameters.
   }
   return {};
 }
@@ -124,7 +124,7 @@
   std::size_t received = 0;
   std::array<char, 16 * 1024> buffer{};
   std::istream& in = request.stream();
-  // A body that is too long is read on for a while, so that its sender gets to see the answer.
+  // Part of an oversized body is read and discarded, so that its sender can receive the response.
   while (in && received <= limit + kMaximumDiscardedBytes) {
     in.read(buffer.data(), buffer.size());
     const auto count = static_cast<std::size_t>(in.gcount());
--- a/src/http/http_server.hpp
+++ b/src/http/http_server.hpp
@@ -18,20 +18,20 @@
 
 struct HttpServerOptions {
   std::string address;  ///< `IP:port`.
-  int threads = 512;    ///< Connections served at once, a thread each.
-  int queued = 256;     ///< Connections that wait for a thread.
+  int threads = 512;    ///< Maximum concurrent connections; one thread each.
+  int queued = 256;     ///< Maximum number of connections waiting for a thread.
 };
 
-/// An HTTP server that calls one handler from its threads.
+/// Thread-per-connection HTTP server that passes all requests to one handler.
 class HttpServer {
  public:
   HttpServer(const HttpServerOptions& options, HttpHandler handler);
   ~HttpServer();
 
   void start();
-  /// Takes no new connections; requests in progress go on.
+  /// Stops accepting connections; requests in progress continue.
   void stop_accepting();
-  /// Ends all connections.
+  /// Closes all connections.
   void stop();
 
  private:
@@ -39,16 +39,16 @@
   std::unique_ptr<Poco::Net::HTTPServer> server_;
 };
 
-/// Splits `/a/b?c=d` into its path.
+/// @return the path of a URI without its query: `/a/b` for `/a/b?c=d`.
 std::string path_of(const std::string& uri);
 
 /// @return the value of a query parameter, or an empty string.
 std::string query_parameter(const std::string& uri, const std::string& name);
 
-/// @return whether `path` starts with `prefix`; then the rest is put into `rest`.
+/// @return whether `path` starts with `prefix`; if so, `rest` is set to the remainder.
 bool split_prefix(const std::string& path, const std::string& prefix, std::string& rest);
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 Result<std::string> read_request_body(Poco::Net::HTTPServerRequest& request, std::size_t limit);
 
 void send_json(Poco::Net::HTTPServerResponse& response, int status, const std::string& json);
@@ -56,7 +56,7 @@
 void send_bytes(Poco::Net::HTTPServerResponse& response, const std::string& content_type,
                 const std::string& bytes);
 
-/// @return the error body that the OpenAI API's users know, with dockpoint's fields:
+/// @return an error body in the format of the OpenAI API, extended by dockpoint's fields:
 /// `{"error":{"message","type","code","param","result_code","run","retry_after"}}`.
 std::string error_json(const Error& error);
 
--- a/src/http/http_session.cpp
+++ b/src/http/http_session.cpp
@@ -40,7 +40,7 @@
     while (!idle.empty()) {
       Session session = std::move(idle.back());
       idle.pop_back();
-      // A connection that has something to read while idle was closed by the other side.
+      // An idle connection that is readable has been closed by the server.
       if (!session->socket().poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
         return session;
       }
@@ -90,9 +90,9 @@
       outcome.failure.reason = "the answer is too long or broken off";
       return outcome;
     }
-    const std::streamsize promised = response.getContentLength();
-    if (promised != Poco::Net::HTTPMessage::UNKNOWN_CONTENT_LENGTH &&
-        static_cast<std::size_t>(promised) != answer.body.size()) {
+    const std::streamsize expected_length = response.getContentLength();
+    if (expected_length != Poco::Net::HTTPMessage::UNKNOWN_CONTENT_LENGTH &&
+        static_cast<std::size_t>(expected_length) != answer.body.size()) {
       outcome.failure.reason = "the answer broke off";
       return outcome;
     }
--- a/src/http/http_session.hpp
+++ b/src/http/http_session.hpp
@@ -13,7 +13,7 @@
 
 namespace dockpoint {
 
-/// Keeps idle connections by address, so that requests need not connect anew. Thread-safe.
+/// Pool of idle persistent connections, keyed by address. Thread-safe.
 class HttpSessionPool {
  public:
   using Session = std::unique_ptr<Poco::Net::HTTPClientSession>;
@@ -21,10 +21,10 @@
   explicit HttpSessionPool(std::chrono::milliseconds timeout) : timeout_(timeout) {}
 
   /// @param address `IP:port`.
-  /// @return an idle connection, or a new one that connects at its first request.
+  /// @return an idle connection, or a new one that connects on its first request.
   Session acquire(const std::string& address);
 
-  /// Returns a connection whose answer was read to its end.
+  /// Returns a connection to the pool after its response was read completely.
   void release(const std::string& address, Session session);
 
  private:
@@ -33,20 +33,20 @@
   std::unordered_map<std::string, std::vector<Session>> idle_;
 };
 
-/// A short answer, held as a whole.
+/// A response with its complete body in memory.
 struct HttpAnswer {
   int status = 0;
   std::string body;
-  std::string request_id;  ///< That the answer says it belongs to; empty: it does not say.
+  std::string request_id;  ///< `x-request-id` of the response; empty if absent.
 };
 
-/// How an exchange failed.
+/// Failure of an exchange.
 struct HttpFailure {
-  bool sent = false;  ///< Whether the other side may have received the request.
+  bool sent = false;  ///< Whether the server may have received the request.
   std::string reason;
 };
 
-/// An exchange of a whole body for a whole body, over a pooled connection.
+/// Request for an exchange with fully buffered bodies over a pooled connection.
 struct HttpExchange {
   std::string address;
   std::string method = "GET";
@@ -58,13 +58,13 @@
   std::size_t maximum_answer_bytes = 64 * 1024 * 1024;
 };
 
-/// The end of an exchange: an answer, or a failure.
+/// Result of an exchange: a response or a failure.
 struct HttpOutcome {
   std::optional<HttpAnswer> answer;
   HttpFailure failure;
 };
 
-/// Performs the exchange; blocks.
+/// Performs the exchange; blocks until it has completed or failed.
 HttpOutcome exchange(HttpSessionPool& pool, const HttpExchange& request);
 
 }  // namespace dockpoint
--- a/src/http/latency_recorder.hpp
+++ b/src/http/latency_recorder.hpp
@@ -4,13 +4,13 @@
 
 namespace dockpoint {
 
-/// Takes the times that callers feel; the metrics implement it.
+/// Records request latencies as seen by callers; implemented by the metrics.
 class LatencyRecorder {
  public:
   virtual ~LatencyRecorder() = default;
-  /// From the arrival of a request to its first token.
+  /// Records the time from the arrival of a request to its first token.
   virtual void first_token(Duration time) = 0;
-  /// From the arrival of a request to the end of its answer.
+  /// Records the time from the arrival of a request to the end of its response.
   virtual void whole_answer(Duration time) = 0;
 };
 
--- a/src/http/online_handler.cpp
+++ b/src/http/online_handler.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr std::chrono::milliseconds kRequestCancelTimeout{2'000};
-constexpr std::chrono::milliseconds kResumePause{50};
+constexpr std::chrono::milliseconds kResumeDelay{50};
 constexpr int kResumeAttempts = 3;
-constexpr std::int64_t kLongestDeadlineMs = 3'600'000;
-constexpr std::size_t kLongestName = 128;
+constexpr std::int64_t kMaximumDeadlineMs = 3'600'000;
+constexpr std::size_t kMaximumNameLength = 128;
 constexpr const char* kDefaultTenant = "default";
 
-/// Reads a whole number from a header.
+/// Parses an integer header within the given bounds.
 Result<std::int64_t> integer_header(const Poco::Net::HTTPServerRequest& request, const char* name,
                                     std::int64_t minimum, std::int64_t maximum,
                                     std::int64_t fallback) {
@@ -42,7 +42,7 @@
 }
 
 bool is_plain_name(const std::string& text) {
-  return !text.empty() && text.size() <= kLongestName &&
+  return !text.empty() && text.size() <= kMaximumNameLength &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
@@ -64,7 +64,7 @@
   return "req-" + hash128_hex(std::to_string(run) + "-" + std::to_string(number)).substr(0, 20);
 }
 
-std::chrono::milliseconds until(TimePoint deadline) {
+std::chrono::milliseconds time_until(TimePoint deadline) {
   const auto left =
       std::chrono::duration_cast<std::chrono::milliseconds>(deadline - monotonic_now());
   return std::max(left, std::chrono::milliseconds(1));
@@ -83,7 +83,7 @@
       peers_(peers),
       latencies_(latencies),
       maximum_body_bytes_(maximum_body_bytes),
-      sessions_(std::chrono::milliseconds(kLongestDeadlineMs)) {}
+      sessions_(std::chrono::milliseconds(kMaximumDeadlineMs)) {}
 
 void OnlineHandler::handle(CompletionKind kind, Poco::Net::HTTPServerRequest& request,
                            Poco::Net::HTTPServerResponse& response) {
@@ -107,7 +107,7 @@
     return controller.configuration().config()->limits.default_deadline_ms;
   });
   BOOST_LEAF_AUTO(
-      deadline, integer_header(request, kDeadlineHeader, 1, kLongestDeadlineMs, default_deadline));
+      deadline, integer_header(request, kDeadlineHeader, 1, kMaximumDeadlineMs, default_deadline));
   BOOST_LEAF_AUTO(priority, integer_header(request, kPriorityLimitHeader, 0, 100, 100));
   BOOST_LEAF_AUTO(key, name_header(request, kIdempotencyHeader, ""));
   BOOST_LEAF_ASSIGN(exchange.request_id, name_header(request, kRequestIdHeader, ""));
@@ -185,7 +185,7 @@
     send_error(exchange.response, error);
     return;
   }
-  // The head was sent: the error is the last event, and no `[DONE]` follows.
+  // The head has already been sent: the error is sent as the last event, without `[DONE]`.
   *exchange.out << "data: " << error_json(error) << "\n\n" << std::flush;
 }
 
@@ -201,14 +201,14 @@
   request.method = "POST";
   request.path = exchange.kind == CompletionKind::kChat ? kChatPath : kTextPath;
   request.body = exchange.body;
-  request.timeout = until(exchange.online.deadline);
+  request.timeout = time_until(exchange.online.deadline);
   request.headers = {
       {kPriorityClassHeader, "online"},
       {kPriorityHeader, std::to_string(std::min(command.priority, exchange.priority_limit))}};
   exchange.response.set("x-dockpoint-engine", command.engine.name);
   exchange.response.set("x-dockpoint-attempts", std::to_string(exchange.attempts));
   AttemptEnd end = exchange.completion.stream ? run_stream(exchange, request, attempt_id)
-                                              : run_whole(exchange, request, attempt_id);
+                                              : run_unary(exchange, request, attempt_id);
   const bool lost = end == AttemptEnd::kUnknown || end == AttemptEnd::kInterrupted;
   if (lost && monotonic_now() >= exchange.online.deadline) {
     end = AttemptEnd::kDeadline;
@@ -219,7 +219,7 @@
   return end;
 }
 
-AttemptEnd OnlineHandler::run_whole(Exchange& exchange, const HttpExchange& request,
+AttemptEnd OnlineHandler::run_unary(Exchange& exchange, const HttpExchange& request,
                                     const std::string& attempt_id) {
   HttpExchange whole = request;
   whole.headers.emplace_back(kRequestIdHeader, attempt_id);
@@ -303,11 +303,11 @@
     if (monotonic_now() >= exchange.online.deadline) {
       return AttemptEnd::kDeadline;
     }
-    HttpExchange again = request;
-    again.timeout = until(exchange.online.deadline);
-    again.headers.emplace_back(kResumeHeader, std::to_string(exchange.events_delivered));
+    HttpExchange resume_request = request;
+    resume_request.timeout = time_until(exchange.online.deadline);
+    resume_request.headers.emplace_back(kResumeHeader, std::to_string(exchange.events_delivered));
     EngineStream stream(sessions_, request.address);
-    const EngineStream::Status status = stream.open(again, attempt_id);
+    const EngineStream::Status status = stream.open(resume_request, attempt_id);
     if (status == EngineStream::Status::kAnswered) {
       break;  // The engine no longer has the stream.
     }
@@ -319,7 +319,7 @@
         return end;
       }
     }
-    std::this_thread::sleep_for(kResumePause);
+    std::this_thread::sleep_for(kResumeDelay);
   }
   return exchange.out == nullptr ? AttemptEnd::kUnknown : AttemptEnd::kInterrupted;
 }
--- a/src/http/online_handler.hpp
+++ b/src/http/online_handler.hpp
@@ -14,18 +14,19 @@
 
 namespace dockpoint {
 
-/// Headers that callers may set; docs/API.md describes them.
+/// Request headers that callers may set; see docs/API.md.
 inline constexpr const char* kDeadlineHeader = "x-dockpoint-deadline-ms";
 inline constexpr const char* kTenantHeader = "x-dockpoint-tenant";
 inline constexpr const char* kRepeatableHeader = "x-dockpoint-repeatable";
 inline constexpr const char* kPriorityLimitHeader = "x-dockpoint-priority";
 inline constexpr const char* kIdempotencyHeader = "Idempotency-Key";
 
-/// @return the tenant that a request belongs to.
+/// @return the tenant of a request.
 std::string tenant_of(const Poco::Net::HTTPServerRequest& request);
 
-/// Serves the completion paths. Each request keeps its traffic thread; the control thread decides
-/// on engines and retries, this class sends and streams.
+/// Serves the completion endpoints. Each request occupies its HTTP thread until it ends. The
+/// control thread selects engines and decides on retries; this class sends requests and streams
+/// responses.
 class OnlineHandler {
  public:
   OnlineHandler(ControlLoop& control, OnlineCalls& calls, PeerRequests& peers,
@@ -35,7 +36,7 @@
               Poco::Net::HTTPServerResponse& response);
 
  private:
-  /// A request on its way from the caller to an engine and back.
+  /// State of a request between its caller and the engines.
   struct Exchange {
     Exchange(CompletionKind request_kind, TimePoint arrival, Poco::Net::HTTPServerResponse& answer)
         : kind(request_kind), arrived(arrival), response(answer) {}
@@ -44,14 +45,14 @@
     CompletionRequest completion;
     std::string body;
     std::string request_id;
-    std::string attempt_key;  ///< Of a request that must run at most once; may be empty.
+    std::string attempt_key;  ///< Key of an at-most-once request; otherwise empty.
     int priority_limit = 100;
     OnlineRequest online;
     TimePoint arrived{};
     TimePoint first_token{};
     int attempts = 0;
     int events_delivered = 0;
-    std::ostream* out = nullptr;  ///< Set once the answer's head was sent.
+    std::ostream* out = nullptr;  ///< Set once the response head has been sent.
     Poco::Net::HTTPServerResponse& response;
   };
 
@@ -59,11 +60,11 @@
   void serve(Exchange& exchange);
   void end_with_error(Exchange& exchange, const Error& error);
   AttemptEnd run_attempt(Exchange& exchange, const AttemptCommand& command);
-  AttemptEnd run_whole(Exchange& exchange, const HttpExchange& request,
+  AttemptEnd run_unary(Exchange& exchange, const HttpExchange& request,
                        const std::string& attempt_id);
   AttemptEnd run_stream(Exchange& exchange, const HttpExchange& request,
                         const std::string& attempt_id);
-  /// Passes events on until the stream ends or breaks.
+  /// Forwards events to the caller until the stream ends or is interrupted.
   AttemptEnd forward_events(Exchange& exchange, EngineStream& stream);
   AttemptEnd resume(Exchange& exchange, const HttpExchange& request, const std::string& attempt_id);
   AttemptEnd deliver_answer(Exchange& exchange, const HttpAnswer& answer,
--- a/src/http/peer_requests.cpp
+++ b/src/http/peer_requests.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr std::chrono::milliseconds kForwardTimeout{10'000};
-constexpr std::chrono::milliseconds kPeerChangeWait{3'000};
+constexpr std::chrono::milliseconds kAttemptRecordTimeout{3'000};
 constexpr int kMaximumForwards = 2;
 
-int forwards_of(const Poco::Net::HTTPServerRequest& request) {
+int forward_count(const Poco::Net::HTTPServerRequest& request) {
   return std::atoi(request.get(kForwardedHeader, "0").c_str());
 }
 
@@ -23,7 +23,7 @@
   return "/peer/v1/attempts/" + ticket.key + "?token=" + ticket.token;
 }
 
-Error no_owner() {
+Error owner_unknown_error() {
   return Error{ResultCode::kNotOwner,
                "the owner of this object is not known at the moment",
                {},
@@ -44,9 +44,9 @@
   if (owner.is_self) {
     return false;
   }
-  const int forwards = forwards_of(request);
+  const int forwards = forward_count(request);
   if (owner.api_address.empty() || forwards >= kMaximumForwards) {
-    send_error(response, no_owner());
+    send_error(response, owner_unknown_error());
     return true;
   }
   bool sent = false;
@@ -80,7 +80,7 @@
     sessions_.release(owner.api_address, std::move(session));
   } catch (const Poco::Exception& exception) {
     if (response.sent()) {
-      throw;  // The connection closes, so the caller sees that the answer is not whole.
+      throw;  // The connection is closed, so the caller sees that the response is incomplete.
     }
     send_error(response, Error{ResultCode::kPeerUnreachable,
                                "the node that owns this object did not answer",
@@ -101,10 +101,10 @@
 Result<void> PeerRequests::record_online_attempt(const AttemptTicket& ticket) {
   const OwnerHint owner = owner_of_key(ticket.key);
   if (owner.is_self) {
-    return record_here(ticket);
+    return record_locally(ticket);
   }
   if (owner.api_address.empty()) {
-    return fail(no_owner());
+    return fail(owner_unknown_error());
   }
   HttpExchange request;
   request.address = owner.api_address;
@@ -128,12 +128,12 @@
                       {}});
   }
   if (outcome.answer->status != Poco::Net::HTTPResponse::HTTP_OK) {
-    return fail(no_owner());
+    return fail(owner_unknown_error());
   }
   return {};
 }
 
-Result<void> PeerRequests::record_here(const AttemptTicket& ticket) {
+Result<void> PeerRequests::record_locally(const AttemptTicket& ticket) {
   auto verdict = std::make_shared<std::promise<RecordVerdict>>();
   std::future<RecordVerdict> confirmed = verdict->get_future();
   const std::optional<Error> refused =
@@ -144,8 +144,8 @@
   if (refused) {
     return fail(*refused);
   }
-  if (confirmed.wait_for(kPeerChangeWait) != std::future_status::ready) {
-    // The record may still land; the withdrawal lands behind it.
+  if (confirmed.wait_for(kAttemptRecordTimeout) != std::future_status::ready) {
+    // The record may still be appended; the withdrawal is appended after it.
     control_.post([ticket](NodeController& controller, TimePoint now) {
       controller.withdraw_online_attempt(ticket, now);
     });
@@ -168,7 +168,7 @@
     case RecordVerdict::kUnknownJob:
       break;
   }
-  return fail(no_owner());
+  return fail(owner_unknown_error());
 }
 
 void PeerRequests::withdraw_online_attempt(const AttemptTicket& ticket) {
@@ -196,12 +196,13 @@
     send_json(response, Poco::Net::HTTPResponse::HTTP_OK, "{}");
     return;
   }
-  const std::optional<Error> error = error_of([&] { return record_here(ticket); });
+  const std::optional<Error> error = error_of([&] { return record_locally(ticket); });
   error ? send_error(response, *error)
         : send_json(response, Poco::Net::HTTPResponse::HTTP_OK, "{}");
 }
 
-std::vector<std::string> PeerRequests::ask_all(const std::string& path, const Headers& headers) {
+std::vector<std::string> PeerRequests::query_peers(const std::string& path,
+                                                   const Headers& headers) {
   const std::vector<std::string> addresses =
       control_.call([](NodeController& controller, TimePoint) {
         std::vector<std::string> others;
--- a/src/http/peer_requests.hpp
+++ b/src/http/peer_requests.hpp
@@ -10,24 +10,24 @@
 
 namespace dockpoint {
 
-/// Counts how often a request was passed on between nodes.
+/// Number of times that a request has been forwarded between nodes.
 inline constexpr const char* kForwardedHeader = "x-dockpoint-forwarded";
 
-/// Requests that concern a partition go to its owner: served here, or passed on.
+/// Routes requests for a partition to its owner: serves them locally or forwards them.
 class PeerRequests {
  public:
   explicit PeerRequests(ControlLoop& control);
 
-  /// Passes the request on to the owner of `partition` if that is another node, and the answer
-  /// back. @return false if this node should serve it.
+  /// Forwards the request to the owner of `partition` if that is another node, and relays the
+  /// response. @return false if this node should serve the request.
   bool forward(int partition, const std::string& body, Poco::Net::HTTPServerRequest& request,
                Poco::Net::HTTPServerResponse& response);
 
-  /// Writes down, with the owner of the key, that a request which must run at most once is about
-  /// to be sent. Fails if one was sent before under the key, or if that is not certain.
+  /// Records with the owner of the key that an at-most-once request is about to be sent. Fails if a
+  /// request was already sent under the key, or if this cannot be determined.
   Result<void> record_online_attempt(const AttemptTicket& ticket);
 
-  /// Frees the key of a request that certainly did not run.
+  /// Releases the key of a request that is known not to have run.
   void withdraw_online_attempt(const AttemptTicket& ticket);
 
   /// Serves `POST` and `DELETE` of `/peer/v1/attempts/KEY?token=TOKEN`.
@@ -36,11 +36,11 @@
 
   using Headers = std::vector<std::pair<std::string, std::string>>;
 
-  /// Asks every other live node for `path`. @return the bodies of the successful answers.
-  std::vector<std::string> ask_all(const std::string& path, const Headers& headers);
+  /// Sends `GET path` to every other live node. @return the bodies of the successful responses.
+  std::vector<std::string> query_peers(const std::string& path, const Headers& headers);
 
  private:
-  Result<void> record_here(const AttemptTicket& ticket);
+  Result<void> record_locally(const AttemptTicket& ticket);
   OwnerHint owner_of_key(const std::string& key);
 
   ControlLoop& control_;
