--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -14,13 +14,13 @@
 
 using ErrorCode = boost::system::error_code;
 
-/// A kept connection is left this long before the server would close it.
+/// Margin before the server's idle timeout at which a persistent connection is no longer reused.
 constexpr Duration kIdleMargin = std::chrono::milliseconds(600);
 
-/// Most kept connections to one server.
+/// Maximum number of idle persistent connections to one server.
 constexpr std::size_t kMaximumIdle = 24;
 
-/// Seconds after which an idle connection to a server is probed.
+/// Idle time before TCP keep-alive probes to a server, in seconds.
 constexpr int kServerKeepaliveSeconds = 2;
 
 /// @return the `timeout` of a `Keep-Alive` header.
@@ -54,7 +54,8 @@
 
 void Call::time_out() {
   if (connection_ && reused_) {
-    // All open connections may have gone silent together: each later call would wait in vain too.
+    // All open connections may have stopped responding together; later calls on them would time
+    // out.
     connection_->abandon_idle_siblings();
   }
   cancel();
@@ -110,7 +111,7 @@
     const auto candidate = connections.back();
     connections.pop_back();
     const Duration limit = std::min(maximum_idle, candidate->server_idle_limit_ - kIdleMargin);
-    if (now - candidate->idle_since_ <= limit && candidate->connection_->quiet()) {
+    if (now - candidate->idle_since_ <= limit && candidate->connection_->reusable()) {
       taken = candidate;
     } else {
       stale.push_back(candidate);
@@ -228,7 +229,7 @@
 
 void ClientConnection::on_connected(const ErrorCode& error) {
   if (!connecting_) {
-    return;  // Given up meanwhile.
+    return;  // The call was cancelled in the meantime.
   }
   if (error) {
     fail_connect();
@@ -263,30 +264,30 @@
   call->connection_ = shared_from_this();
   call->sent_ = true;
   std::string().swap(call->bytes_);
-  head_taken_ = false;
-  begin_answer();
+  head_received_ = false;
+  begin_response();
   return true;
 }
 
-void ClientConnection::begin_answer() {
-  skipping_ = false;
+void ClientConnection::begin_response() {
+  skipping_response_ = false;
   keep_alive_ = true;
   parser_ = std::make_unique<ResponseParser>(
       [this](const ResponseHead& head) {
-        note_keep_alive(head);
+        update_keep_alive(head);
         const CallPtr call = call_;
-        skipping_ = !call || call->observer_ == nullptr || !call->observer_->on_head(head);
-        head_taken_ = head_taken_ || !skipping_;
+        skipping_response_ = !call || call->observer_ == nullptr || !call->observer_->on_head(head);
+        head_received_ = head_received_ || !skipping_response_;
       },
       [this](std::string_view bytes) {
         const CallPtr call = call_;
-        if (!skipping_ && call && call->observer_ != nullptr) {
+        if (!skipping_response_ && call && call->observer_ != nullptr) {
           call->observer_->on_body(bytes);
         }
       });
 }
 
-void ClientConnection::note_keep_alive(const ResponseHead& head) {
+void ClientConnection::update_keep_alive(const ResponseHead& head) {
   keep_alive_ = head.keep_alive;
   if (const auto limit = keep_alive_timeout(head.headers.get("Keep-Alive"))) {
     server_idle_limit_ = *limit;
@@ -296,7 +297,7 @@
 void ClientConnection::on_bytes(std::string_view bytes) {
   const auto self = shared_from_this();
   if (!call_) {
-    // Bytes that belong to nobody: nothing more is asked on this connection.
+    // Unexpected bytes without a pending call: the connection must not be reused.
     abandon();
     return;
   }
@@ -314,10 +315,10 @@
       return;
     }
     if (status != ParseStatus::kDone) {
-      fail(head_taken_ ? CallFailure::kInterrupted : CallFailure::kMalformed);
+      fail(head_received_ ? CallFailure::kInterrupted : CallFailure::kMalformed);
       return;
     }
-    if (!skipping_ && parser_->head().status / 100 != 1) {
+    if (!skipping_response_ && parser_->head().status / 100 != 1) {
       complete();
       return;
     }
@@ -325,7 +326,7 @@
       fail(CallFailure::kNoAnswer);
       return;
     }
-    begin_answer();
+    begin_response();
   }
 }
 
@@ -349,12 +350,12 @@
     abandon();
     return;
   }
-  if (clean && parser_ && parser_->feed_end() && !skipping_) {
+  if (clean && parser_ && parser_->feed_end() && !skipping_response_) {
     keep_alive_ = false;
     complete();
     return;
   }
-  fail(head_taken_ ? CallFailure::kInterrupted : CallFailure::kNoAnswer);
+  fail(head_received_ ? CallFailure::kInterrupted : CallFailure::kNoAnswer);
 }
 
 void ClientConnection::fail(CallFailure failure) {
@@ -393,7 +394,7 @@
   }
 }
 
-/// Ends a simple call that takes too long.
+/// Ends a simple call that exceeds its timeout.
 struct SimpleCall::Timer {
   explicit Timer(boost::asio::io_context& loop) : timer(loop) {}
   boost::asio::steady_timer timer;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,19 +10,19 @@
 
 using ErrorCode = boost::system::error_code;
 
-/// Most bytes that a client may send ahead of the answer it waits for.
-constexpr std::size_t kPipelineBytes = 256 * 1024;
+/// Maximum number of pipelined bytes buffered while a response is pending.
+constexpr std::size_t kMaximumPipelinedBytes = 256 * 1024;
 
-/// Status for a request that does not arrive in time.
-constexpr int kRequestTimeout = 408;
+/// Status code for a request that times out before it is complete.
+constexpr int kRequestTimeoutStatus = 408;
 
-/// Backlog of connections that wait to be accepted.
+/// Listen backlog.
 constexpr int kBacklog = 1024;
 
-/// After this time without acknowledgement a client's machine counts as gone, in milliseconds.
+/// TCP_USER_TIMEOUT of client connections, in milliseconds.
 constexpr int kClientUserTimeoutMs = 8'000;
 
-/// Seconds after which an idle client connection is probed.
+/// Idle time before TCP keep-alive probes to a client, in seconds.
 constexpr int kClientKeepaliveSeconds = 5;
 
 int status_of(ParseStatus status) {
@@ -182,7 +182,7 @@
 ServerConnection::ServerConnection(HttpServer& server, tcp::socket socket)
     : server_(&server),
       connection_(std::make_shared<TcpConnection>(std::move(socket), *this)),
-      since_(steady_now()) {
+      timeout_start_(steady_now()) {
   new_parser();
 }
 
@@ -199,11 +199,11 @@
 void ServerConnection::on_bytes(std::string_view bytes) {
   const auto self = shared_from_this();
   if (idle()) {
-    since_ = steady_now();
+    timeout_start_ = steady_now();
   }
   input_.append(bytes);
   if (exchange_) {
-    if (input_.size() > kPipelineBytes) {
+    if (input_.size() > kMaximumPipelinedBytes) {
       connection_->pause();
     }
     return;
@@ -213,7 +213,7 @@
 
 void ServerConnection::parse() {
   if (parsing_) {
-    return;  // `finish` was called from within the handler; the loop below goes on.
+    return;  // `finish` was called from within the handler; the loop below continues.
   }
   parsing_ = true;
   while (!exchange_ && !input_.empty() && connection_->open()) {
@@ -261,7 +261,7 @@
 void ServerConnection::finish(bool keep_alive) {
   const auto self = shared_from_this();
   exchange_.reset();
-  since_ = steady_now();
+  timeout_start_ = steady_now();
   if (!keep_alive) {
     connection_->close_after_output();
     drop();
@@ -295,7 +295,7 @@
   if (exchange_) {
     return;
   }
-  const Duration age = now - since_;
+  const Duration age = now - timeout_start_;
   const ServerLimits& limits = server_->limits_;
   if (idle()) {
     if (age > limits.idle_timeout) {
@@ -303,10 +303,10 @@
     }
     return;
   }
-  // A body may take longer than a head, but not for ever.
+  // A body may take longer than a head, but its time is limited too.
   const Duration body_time = parser_->has_head() ? limits.idle_timeout : Duration{};
   if (age > limits.header_timeout + body_time) {
-    refuse(kRequestTimeout);
+    refuse(kRequestTimeoutStatus);
   }
 }
 
