--- a/src/bench/forwarding_bench.cpp
+++ b/src/bench/forwarding_bench.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::chrono::milliseconds kReportPause{1500};
 
-/// What one way of sending showed.
+/// Measurements of one path, direct or forwarded.
 struct Measurement {
   std::vector<double> first_token_ms;
   std::vector<double> token_gap_ms;
@@ -37,14 +37,14 @@
   return values[std::min(index, values.size() - 1)];
 }
 
-/// An engine keeps the answers of ended requests for a while, so ids must not come back.
+/// Engines keep the answers of finished requests for a while, so request ids must not be reused.
 const std::string& unique_run() {
   static const std::string run =
       "bench-" + std::to_string(SteadyClock::now().time_since_epoch().count());
   return run;
 }
 
-/// Sends one request and adds its times. @return whether the answer was whole.
+/// Sends one request and records its timings. @return true if the answer was complete.
 bool send_one(HttpSessionPool& sessions, const std::string& address,
               const ForwardingOptions& options, int number, Measurement& measured,
               std::mutex& mutex) {
@@ -143,7 +143,8 @@
   for (int round = 0; round < options.rounds; ++round) {
     const int first = round * options.requests / options.rounds;
     run_round(options.engine, options, first, direct);
-    // The node learns of the direct requests only by lagging reports, and would make room for them.
+    // The node learns of direct requests only from delayed load reports and would reserve slots for
+    // them.
     std::this_thread::sleep_for(kReportPause);
     BOOST_LEAF_AUTO(before, node_cpu_seconds(options.node));
     run_round(options.node, options, first, forwarded);
--- a/src/bench/recovery_bench.cpp
+++ b/src/bench/recovery_bench.cpp
@@ -13,7 +13,7 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-/// A result of the size that a short answer has.
+/// A result the size of a short answer.
 constexpr std::size_t kResultBytes = 600;
 constexpr std::size_t kChunkBytes = 512 * 1024;
 
--- a/src/simulation/checkers.hpp
+++ b/src/simulation/checkers.hpp
@@ -7,8 +7,8 @@
 #include "simulation/scenario.hpp"
 #include "simulation/world.hpp"
 
-/// The properties that must always hold, each checked against what an observer saw and against a
-/// naive reference: a fold of the log without epochs, checkpoints or indexes.
+/// The invariants of the system, each checked against the observed history and against a reference
+/// model that folds the log without epochs, checkpoints or indexes.
 namespace dockpoint::simulation {
 
 struct Violation {
@@ -22,13 +22,13 @@
   std::function<void(World&, const Scenario&, std::vector<Violation>&)> check;
 };
 
-/// @return all properties, in the order of docs/PROOFS.md.
+/// @return all invariants, in the order of docs/PROOFS.md.
 const std::vector<PropertyInfo>& property_table();
 
-/// Runs the checks that the scenario asks for, or all.
+/// Runs the checks listed in the scenario, or all checks if it lists none.
 std::vector<Violation> check_properties(World& world, const Scenario& scenario);
 
-/// @return whether every accepted job has ended and every request was answered.
+/// @return true if every accepted job has ended and every request was answered.
 bool all_ended(World& world);
 
 }  // namespace dockpoint::simulation
--- a/src/simulation/event_queue.hpp
+++ b/src/simulation/event_queue.hpp
@@ -9,7 +9,8 @@
 
 namespace dockpoint::simulation {
 
-/// Simulated time: runs events in order of time, and of scheduling among equals.
+/// Discrete-event scheduler with a simulated clock. Events run in order of time; events with equal
+/// times run in the order in which they were scheduled.
 class EventQueue {
  public:
   using Action = std::function<void()>;
@@ -19,7 +20,7 @@
   void at(TimePoint time, Action action);
   void after(Duration delay, Action action) { at(now_ + delay, std::move(action)); }
 
-  /// Runs everything up to and including `time`.
+  /// Runs all events due up to and including `time`, then sets the clock to `time`.
   void run_until(TimePoint time);
 
   std::uint64_t executed() const { return executed_; }
--- a/src/simulation/explorer.hpp
+++ b/src/simulation/explorer.hpp
@@ -6,7 +6,7 @@
 
 namespace dockpoint::simulation {
 
-/// Draws a deployment, a load and a schedule of faults from a seed.
+/// Generates a random deployment, load and fault schedule from a seed.
 Scenario draw_scenario(std::uint64_t seed);
 
 }  // namespace dockpoint::simulation
--- a/src/simulation/history.hpp
+++ b/src/simulation/history.hpp
@@ -8,52 +8,53 @@
 #include "dockpoint/core/error.hpp"
 #include "dockpoint/core/time.hpp"
 
-/// What an observer outside the system saw, for the checkers: nothing here is known to dockpoint.
+/// Observations made from outside the system, used by the checkers. Dockpoint itself never reads
+/// them.
 namespace dockpoint::simulation {
 
-/// An engine took a request in, which counts as running it.
+/// An engine accepted a request, which counts as an execution.
 struct EngineStart {
   TimePoint at{};
   std::string engine;
-  std::string subject;  ///< `job/item` of a batch item, or the online request's name.
+  std::string subject;  ///< `job/item` for a batch item, otherwise the name of the online request.
   bool batch = false;
 };
 
-/// One online request as its caller saw it.
+/// An online request as observed by its caller.
 struct OnlineObservation {
   std::string name;
   std::string tenant;
-  std::string key;  ///< Idempotency key; empty: none.
+  std::string key;  ///< Idempotency key; empty if the request has none.
   bool repeatable = true;
   std::string node;
   TimePoint sent{};
   TimePoint first_token{};
   TimePoint ended{};
-  int beginnings = 0;            ///< How often a first token came.
-  bool answered = false;         ///< The whole answer came.
-  bool connection_lost = false;  ///< The node went away.
+  int beginnings = 0;            ///< Number of times a first token arrived.
+  bool answered = false;         ///< The complete answer arrived.
+  bool connection_lost = false;  ///< The connection to the node was lost.
   std::string answer;
   std::string expected;
-  ResultCode code = ResultCode::kOk;  ///< Of the error, if one came.
+  ResultCode code = ResultCode::kOk;  ///< Result code of the error, if one was returned.
   RunState run = RunState::kUnknown;
   std::int64_t retry_after = 0;  ///< Seconds.
 };
 
-/// One job as its submitter saw it.
+/// A job as observed by its submitter.
 struct JobObservation {
-  std::string name;  ///< In the scenario.
+  std::string name;  ///< Name used in the scenario.
   std::string key;
   std::string tenant;
   std::string file_id;
   std::uint32_t items = 0;
   bool repeatable = true;
-  std::vector<std::string> accepted_ids;  ///< Job ids that nodes answered with, in order.
+  std::vector<std::string> accepted_ids;  ///< Job ids returned by nodes, in order.
   TimePoint accepted{};
   bool cancel_confirmed = false;
   TimePoint cancelled{};
 };
 
-/// One change of configuration as its operator saw it.
+/// A configuration change as observed by its operator.
 struct ChangeObservation {
   std::string id;
   bool accepted = false;
@@ -61,7 +62,7 @@
   TimePoint answered{};
 };
 
-/// A node took a configuration revision into use.
+/// A node applied a configuration revision.
 struct RevisionObservation {
   TimePoint at{};
   std::string node;
@@ -70,20 +71,21 @@
   std::string change_id;
 };
 
-/// A node was told to stop as planned.
+/// A node began a planned shutdown.
 struct DrainObservation {
   std::string node;
   TimePoint at{};
 };
 
-/// An engine began to leave.
+/// An engine began to leave the deployment.
 struct LeaveObservation {
   std::string engine;
   TimePoint at{};
-  bool announced = false;  ///< By the engine itself; otherwise only by the list.
+  bool announced =
+      false;  ///< True if the engine announced it; false if only the machine list shows it.
 };
 
-/// A time during which the machine list did not change.
+/// A period during which the machine list was not updated.
 struct StaleList {
   TimePoint from{};
   TimePoint until{};
@@ -91,7 +93,7 @@
 
 class History {
  public:
-  /// Adds a line to the trace, whose hash tells whether two runs were the same.
+  /// Adds a line to the trace. Its hash is compared to detect differences between two runs.
   void trace(TimePoint at, const std::string& line);
 
   std::uint64_t digest() const { return digest_; }
@@ -106,8 +108,8 @@
   std::vector<DrainObservation> drains;
   std::vector<LeaveObservation> leaves;
   std::vector<StaleList> stale_list;
-  std::vector<std::string> cut_by_drain;  ///< Online requests that a planned stop cut off.
-  TimePoint healed{};                     ///< When all faults had ended.
+  std::vector<std::string> cut_by_drain;  ///< Online requests interrupted by a planned shutdown.
+  TimePoint healed{};                     ///< Time at which the last fault ended.
 
  private:
   std::uint64_t digest_ = 0;
@@ -115,7 +117,7 @@
   std::vector<std::string> lines_;
 };
 
-/// @return the answer that every engine gives to a prompt.
+/// @return the deterministic answer of every engine to a prompt.
 std::string answer_to(const std::string& prompt);
 
 /// @return the prompt of a batch item.
--- a/src/simulation/sim_engine.hpp
+++ b/src/simulation/sim_engine.hpp
@@ -12,25 +12,25 @@
 
 namespace dockpoint::simulation {
 
-/// A request as an engine gets it.
+/// A request as received by an engine.
 struct EngineRequest {
-  std::string id;       ///< Unique to the attempt.
-  std::string subject;  ///< For the history.
+  std::string id;       ///< Unique per attempt.
+  std::string subject;  ///< Name of the request in the history.
   std::string prompt;
   int tokens = 1;
-  bool batch_class = false;  ///< Priority class that the engine is told.
-  bool is_batch = false;     ///< What it is in truth, for the history.
+  bool batch_class = false;  ///< Priority class sent to the engine.
+  bool is_batch = false;     ///< Actual class of the request, recorded in the history.
 };
 
-/// What an attempt hears from its engine.
+/// Callbacks from an engine to one attempt.
 struct EngineListener {
   std::function<void()> first_token;
   std::function<void(const std::string& answer)> completed;
   std::function<void()> broken;  ///< The engine died or the sequence was cancelled.
-  std::string prompt;            ///< Filled in by the engine.
+  std::string prompt;            ///< Set by the engine.
 };
 
-/// An engine in simulated time: the emulator's model, stepped by the event queue.
+/// An engine in simulated time: the emulator's model, driven by the event queue.
 class SimEngine {
  public:
   struct Options {
@@ -38,27 +38,28 @@
     std::string address;
     std::string zone;
     emulator::EngineParameters parameters;
-    Duration report_interval{200'000};  ///< The load that is reported is this old at most.
+    Duration report_interval{200'000};  ///< Maximum age of the reported load.
   };
 
   SimEngine(Options options, EventQueue& events, History& history);
 
-  /// @return false if the engine refuses. Only while it is up.
+  /// Must be called only while the engine is up. @return false if the engine refuses the request.
   bool submit(const EngineRequest& request, EngineListener listener);
   void cancel(const std::string& id);
 
   void kill();
   void restart();
-  /// Stops making progress, without answering or breaking anything.
+  /// Stops all progress: requests are neither answered nor failed.
   void freeze() { frozen_ = true; }
   void wake();
-  /// Announces that it leaves; it still takes what is sent, so that the checkers see it.
+  /// Announces that the engine leaves. It still accepts requests, so that the checkers can detect
+  /// any that are sent to it.
   void announce_leave() { leaving_ = true; }
 
   bool up() const { return up_; }
   bool frozen() const { return frozen_; }
   bool leaving() const { return leaving_; }
-  /// @return the load as of the last report, or nothing while down or frozen.
+  /// @return the load as of the last report, or an empty value while down or frozen.
   std::optional<EngineLoad> reported_load() const;
   const emulator::EngineModel& model() const { return *model_; }
   const Options& options() const { return options_; }
@@ -76,7 +77,8 @@
   EngineLoad report_;
   std::uint64_t incarnation_ = 0;
   std::uint64_t report_sequence_ = 0;
-  std::uint64_t generation_ = 0;  ///< Of the process, so that its events die with it.
+  std::uint64_t generation_ =
+      0;  ///< Process generation; events of an earlier generation are ignored.
   bool up_ = true;
   bool frozen_ = false;
   bool leaving_ = false;
--- a/src/simulation/sim_log.hpp
+++ b/src/simulation/sim_log.hpp
@@ -14,7 +14,7 @@
 
 namespace dockpoint::simulation {
 
-/// The platform's log in simulated time, with its faults.
+/// The platform's log in simulated time, with fault injection.
 class SimLog {
  public:
   using AppendDone = std::function<void(std::optional<std::uint64_t> offset)>;
@@ -22,22 +22,22 @@
 
   SimLog(EventQueue& events, std::uint64_t seed) : events_(events), random_(seed) {}
 
-  /// Appends; `done` gets nothing if the log is down, out of the caller's reach, or lost the
-  /// answer.
+  /// Appends to a stream. `done` receives an empty value if the log is down, if the caller cannot
+  /// reach it, or if its answer was lost.
   void append(const std::string& caller, const std::string& stream,
               const std::vector<std::string>& records, AppendDone done);
-  /// Reads; waits up to half a second for the first record.
+  /// Reads from a stream; waits up to half a second for the first record.
   void read(const std::string& caller, const std::string& stream, std::uint64_t from,
             std::size_t limit, ReadDone done);
 
-  // Faults.
+  // Fault injection.
   void set_down(bool down) { down_ = down; }
   void set_slow(Duration delay) { slow_ = delay; }
   void set_lost_answers(int percent) { lost_answer_percent_ = percent; }
   void set_unreachable(const std::string& caller, bool unreachable);
   void heal();
 
-  /// @return all records of a stream, for checkers and naive references.
+  /// @return all records of a stream, for the checkers and the reference model.
   const std::vector<std::string>& records(const std::string& stream) { return streams_[stream]; }
 
  private:
@@ -52,7 +52,7 @@
   struct Waiter {
     std::uint64_t from = 0;
     std::size_t limit = 0;
-    std::shared_ptr<ReadDone> done;  ///< Emptied once answered.
+    std::shared_ptr<ReadDone> done;  ///< Reset once the read was answered.
   };
   std::map<std::string, std::vector<Waiter>> waiters_;
   bool down_ = false;
--- a/src/simulation/sim_network.cpp
+++ b/src/simulation/sim_network.cpp
@@ -8,7 +8,7 @@
 constexpr std::uint64_t kDatagramJitterUs = 200;
 constexpr Duration kConnectionTimeout{1'000'000};
 constexpr std::uint64_t kWholePercent = 100;
-/// Of UDP and IP.
+/// UDP and IPv4 headers of a datagram.
 constexpr std::size_t kHeaderBytes = 28;
 
 }  // namespace
--- a/src/simulation/sim_network.hpp
+++ b/src/simulation/sim_network.hpp
@@ -9,27 +9,27 @@
 
 namespace dockpoint::simulation {
 
-/// Where a process is.
+/// Name and zone of a process.
 struct Place {
   std::string name;
   std::string zone;
 };
 
-/// The network between processes: delays, loss, doubling, reordering and cuts.
+/// Simulated network between processes, with delay, loss, duplication, reordering and partitions.
 class SimNetwork {
  public:
   SimNetwork(EventQueue& events, std::uint64_t seed) : events_(events), random_(seed) {}
 
-  /// Sends a datagram, which may be lost, doubled or overtaken.
+  /// Sends a datagram, which may be lost, duplicated or reordered.
   void datagram(const Place& from, const Place& to, std::size_t bytes,
                 std::function<void()> deliver);
 
-  /// Sends over a connection: in time or, if the way is cut, not at all, in which case `broken`
-  /// runs after the connection has timed out.
+  /// Sends a message over a connection. If the path is cut, the message is not delivered and
+  /// `broken` runs after the connection timeout.
   void message(const Place& from, const Place& to, std::function<void()> deliver,
                std::function<void()> broken);
 
-  // Faults. A cut names a process or a zone on either side.
+  // Fault injection. Each side of a cut is the name of a process or of a zone.
   void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
   void set_loss(int percent) { loss_percent_ = percent; }
   void set_doubling(int percent) { doubling_percent_ = percent; }
