--- a/src/bench/forwarding_bench.cpp
+++ b/src/bench/forwarding_bench.cpp
@@ -18,7 +18,7 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds kReportPause{1500};
+constexpr std::chrono::milliseconds kLoadReportWait{1500};
 
 /// Measurements of one path, direct or forwarded.
 struct Measurement {
@@ -38,7 +38,7 @@
 }
 
 /// Engines keep the answers of finished requests for a while, so request ids must not be reused.
-const std::string& unique_run() {
+const std::string& unique_run_id() {
   static const std::string run =
       "bench-" + std::to_string(SteadyClock::now().time_since_epoch().count());
   return run;
@@ -58,7 +58,7 @@
                  R"("}]})";
   const auto started = SteadyClock::now();
   EngineStream stream(sessions, address);
-  const std::string id = unique_run() + "-" + address + "-" + std::to_string(number);
+  const std::string id = unique_run_id() + "-" + address + "-" + std::to_string(number);
   if (stream.open(request, id) != EngineStream::Status::kOk) {
     return false;
   }
@@ -143,9 +143,9 @@
   for (int round = 0; round < options.rounds; ++round) {
     const int first = round * options.requests / options.rounds;
     run_round(options.engine, options, first, direct);
-    // The node learns of direct requests only from delayed load reports and would reserve slots for
-    // them.
-    std::this_thread::sleep_for(kReportPause);
+    // The node learns of direct requests only from delayed load reports. Without this pause it
+    // would still count them against the free slots.
+    std::this_thread::sleep_for(kLoadReportWait);
     BOOST_LEAF_AUTO(before, node_cpu_seconds(options.node));
     run_round(options.node, options, first, forwarded);
     BOOST_LEAF_AUTO(after, node_cpu_seconds(options.node));
--- a/src/simulation/checkers.cpp
+++ b/src/simulation/checkers.cpp
@@ -22,7 +22,7 @@
 using Violations = std::vector<Violation>;
 
 /// @return the folded state of a job on the node that owns it, or null.
-const JobState* owned_state(World& world, const std::string& id) {
+const JobState* find_job_on_owner(World& world, const std::string& id) {
   for (const auto& [name, node] : world.nodes()) {
     if (!node->up()) {
       continue;
@@ -60,7 +60,7 @@
         continue;
       }
       const ReferenceJob& expected = found->second;
-      const JobState* actual = owned_state(world, id);
+      const JobState* actual = find_job_on_owner(world, id);
       if (actual == nullptr) {
         violations.push_back({"exactly_once", "no node owns accepted job " + name});
         continue;
@@ -85,7 +85,7 @@
   const Reference reference = build_reference(world);
   for (const auto& [name, job] : world.history().jobs) {
     for (const std::string& id : job.accepted_ids) {
-      const JobState* actual = owned_state(world, id);
+      const JobState* actual = find_job_on_owner(world, id);
       const auto found = reference.jobs.find(id);
       if (actual == nullptr || found == reference.jobs.end()) {
         continue;  // Reported by exactly_once.
@@ -105,7 +105,7 @@
           break;
         }
         const bool answered = result->result_code == 0;
-        if (answered && result->body != answer_to(item_prompt(job.file_id, item))) {
+        if (answered && result->body != answer_for_prompt(item_prompt(job.file_id, item))) {
           violations.push_back(
               {"results_readable",
                "job " + name + " item " + std::to_string(item) + " has another item's answer"});
@@ -154,7 +154,7 @@
     if (request.answered && request.answer != request.expected) {
       violations.push_back({"whole_answers", "request " + name + " got another's answer"});
     }
-    if (request.beginnings > 1) {
+    if (request.first_token_count > 1) {
       violations.push_back({"whole_answers", "request " + name + " got two beginnings"});
     }
     const bool ended =
@@ -167,16 +167,16 @@
 
 void check_not_run_is_true(World& world, const Scenario&, Violations& violations) {
   // Requests that are never resent have a name of their own; any start is theirs.
-  std::map<std::string, int> tries;
+  std::map<std::string, int> send_counts;
   for (const auto& [name, request] : world.history().online) {
-    ++tries[request.key.empty() ? request.name : request.key];
+    ++send_counts[request.key.empty() ? request.name : request.key];
   }
   const std::map<std::string, int> starts = start_counts(world);
   for (const auto& [name, request] : world.history().online) {
     const std::string subject = request.key.empty() ? request.name : request.key;
     const bool refused =
         !request.answered && request.code != ResultCode::kOk && request.run == RunState::kNotRun;
-    if (refused && tries.at(subject) == 1 && starts.contains(subject)) {
+    if (refused && send_counts.at(subject) == 1 && starts.contains(subject)) {
       violations.push_back({"not_run_is_true", "request " + name + " was refused as not run (" +
                                                    std::string(describe(request.code).name) +
                                                    "), but ran"});
@@ -185,21 +185,21 @@
 }
 
 void check_at_most_once(World& world, const Scenario&, Violations& violations) {
-  std::set<std::string> once;
+  std::set<std::string> non_repeatable_requests;
   for (const auto& [name, request] : world.history().online) {
     if (!request.repeatable) {
-      once.insert(request.key.empty() ? request.name : request.key);
+      non_repeatable_requests.insert(request.key.empty() ? request.name : request.key);
     }
   }
-  std::set<std::string> once_jobs;
+  std::set<std::string> non_repeatable_jobs;
   for (const auto& [name, job] : world.history().jobs) {
     if (!job.repeatable) {
-      once_jobs.insert(job.accepted_ids.begin(), job.accepted_ids.end());
+      non_repeatable_jobs.insert(job.accepted_ids.begin(), job.accepted_ids.end());
     }
   }
   for (const auto& [subject, count] : start_counts(world)) {
-    const bool must_not_repeat =
-        once.contains(subject) || once_jobs.contains(subject.substr(0, subject.find('/')));
+    const bool must_not_repeat = non_repeatable_requests.contains(subject) ||
+                                 non_repeatable_jobs.contains(subject.substr(0, subject.find('/')));
     if (must_not_repeat && count > 1) {
       violations.push_back(
           {"at_most_once", subject + " was started " + std::to_string(count) + " times"});
@@ -208,22 +208,22 @@
 }
 
 /// @return when the engine itself or the machine list first told of the leave.
-TimePoint shown_at(World& world, const LeaveObservation& leave) {
+TimePoint leave_visible_at(World& world, const LeaveObservation& leave) {
   if (leave.announced) {
     return leave.at;
   }
-  TimePoint shown = leave.at + std::chrono::milliseconds(world.deployment().list_lag_ms);
-  for (const StaleList& stale : world.history().stale_list) {
-    if (stale.from < shown && shown < stale.until) {
-      shown = stale.until;
+  TimePoint visible = leave.at + std::chrono::milliseconds(world.deployment().list_lag_ms);
+  for (const StaleListPeriod& stale : world.history().stale_list_periods) {
+    if (stale.from < visible && visible < stale.until) {
+      visible = stale.until;
     }
   }
-  return shown;
+  return visible;
 }
 
 void check_leaving_gets_nothing(World& world, const Scenario&, Violations& violations) {
   for (const LeaveObservation& leave : world.history().leaves) {
-    const TimePoint bound = shown_at(world, leave) + kLeaveBound;
+    const TimePoint bound = leave_visible_at(world, leave) + kLeaveBound;
     for (const EngineStart& start : world.history().starts) {
       if (start.engine == leave.engine && start.at > bound && start.at < world.history().healed) {
         violations.push_back({"leaving_gets_nothing", leave.engine + " started " + start.subject +
@@ -235,7 +235,7 @@
 }
 
 void check_drain_cuts_nothing(World& world, const Scenario&, Violations& violations) {
-  for (const std::string& name : world.history().cut_by_drain) {
+  for (const std::string& name : world.history().interrupted_by_drain) {
     violations.push_back({"drain_cuts_nothing", "a planned stop cut request " + name});
   }
 }
@@ -243,18 +243,19 @@
 void check_configuration(World& world, const Scenario&, Violations& violations) {
   const Reference reference = build_reference(world);
   std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> newest;
-  for (const RevisionObservation& seen : world.history().revisions) {
-    std::uint64_t& before = newest[{seen.node, seen.run}];
-    if (seen.revision < before) {
-      violations.push_back(
-          {"configuration", seen.node + " went back to revision " + std::to_string(seen.revision)});
+  for (const RevisionObservation& observed : world.history().revisions) {
+    std::uint64_t& before = newest[{observed.node, observed.run}];
+    if (observed.revision < before) {
+      violations.push_back({"configuration", observed.node + " went back to revision " +
+                                                 std::to_string(observed.revision)});
     }
-    before = std::max(before, seen.revision);
-    const bool known = seen.revision >= 1 && seen.revision <= reference.change_ids.size() &&
-                       reference.change_ids[seen.revision - 1] == seen.change_id;
+    before = std::max(before, observed.revision);
+    const bool known = observed.revision >= 1 && observed.revision <= reference.change_ids.size() &&
+                       reference.change_ids[observed.revision - 1] == observed.change_id;
     if (!known) {
-      violations.push_back({"configuration", seen.node + " took " + seen.change_id +
-                                                 " as revision " + std::to_string(seen.revision) +
+      violations.push_back({"configuration", observed.node + " took " + observed.change_id +
+                                                 " as revision " +
+                                                 std::to_string(observed.revision) +
                                                  ", which the reference did not accept"});
     }
   }
@@ -281,27 +282,27 @@
     }
   }
   // In force everywhere in time, once nothing hinders it.
-  for (const RevisionObservation& seen : world.history().revisions) {
+  for (const RevisionObservation& observed : world.history().revisions) {
     const bool late = world.history().healed != TimePoint{} &&
-                      seen.at > world.history().healed + kConfigurationBound;
+                      observed.at > world.history().healed + kConfigurationBound;
     if (late) {
-      violations.push_back({"configuration", seen.node + " took revision " +
-                                                 std::to_string(seen.revision) + " too late"});
+      violations.push_back({"configuration", observed.node + " took revision " +
+                                                 std::to_string(observed.revision) + " too late"});
     }
   }
 }
 
 void check_refused_at_once(World& world, const Scenario&, Violations& violations) {
-  constexpr double kLargestLateShare = 0.05;
-  int gave_up_at_deadline = 0;
+  constexpr double kMaxExpiredShare = 0.05;
+  int expired_count = 0;
   for (const auto& [name, request] : world.history().online) {
-    const bool waited_in_vain =
+    const bool expired_unexecuted =
         request.code == ResultCode::kDeadlineExceeded && request.run == RunState::kNotRun;
-    gave_up_at_deadline += waited_in_vain ? 1 : 0;
+    expired_count += expired_unexecuted ? 1 : 0;
   }
   const auto requests = static_cast<double>(world.history().online.size());
-  if (gave_up_at_deadline > kLargestLateShare * requests) {
-    violations.push_back({"refused_at_once", std::to_string(gave_up_at_deadline) +
+  if (expired_count > kMaxExpiredShare * requests) {
+    violations.push_back({"refused_at_once", std::to_string(expired_count) +
                                                  " requests waited in vain until their deadline"});
   }
   for (const auto& [name, request] : world.history().online) {
@@ -341,12 +342,12 @@
     return;
   }
   // The tenant that asks for least is below its share, so nearly all of its requests are answered.
-  constexpr double kLeastShare = 0.9;
-  const Count& modest = lowest_demand->second;
-  if (modest.answered < kLeastShare * modest.sent) {
+  constexpr double kMinAnsweredShare = 0.9;
+  const Count& lowest_tenant = lowest_demand->second;
+  if (lowest_tenant.answered < kMinAnsweredShare * lowest_tenant.sent) {
     violations.push_back({"no_starvation", "tenant " + lowest_demand->first + " got " +
-                                               std::to_string(modest.answered) + " of " +
-                                               std::to_string(modest.sent) + " answers"});
+                                               std::to_string(lowest_tenant.answered) + " of " +
+                                               std::to_string(lowest_tenant.sent) + " answers"});
   }
 }
 
@@ -411,7 +412,7 @@
       return false;
     }
     for (const std::string& id : job.accepted_ids) {
-      const JobState* state = owned_state(world, id);
+      const JobState* state = find_job_on_owner(world, id);
       if (state == nullptr || state->in_progress()) {
         return false;
       }
--- a/src/simulation/history.cpp
+++ b/src/simulation/history.cpp
@@ -12,7 +12,7 @@
   }
 }
 
-std::string answer_to(const std::string& prompt) {
+std::string answer_for_prompt(const std::string& prompt) {
   constexpr std::size_t kAnswerDigits = 16;
   return "answer-" + hash128_hex(prompt).substr(0, kAnswerDigits);
 }
--- a/src/simulation/history.hpp
+++ b/src/simulation/history.hpp
@@ -30,7 +30,7 @@
   TimePoint sent{};
   TimePoint first_token{};
   TimePoint ended{};
-  int beginnings = 0;            ///< Number of times a first token arrived.
+  int first_token_count = 0;     ///< Number of times a first token arrived.
   bool answered = false;         ///< The complete answer arrived.
   bool connection_lost = false;  ///< The connection to the node was lost.
   std::string answer;
@@ -81,12 +81,12 @@
 struct LeaveObservation {
   std::string engine;
   TimePoint at{};
-  bool announced =
-      false;  ///< True if the engine announced it; false if only the machine list shows it.
+  /// True if the engine announced it; false if only the machine list shows it.
+  bool announced = false;
 };
 
 /// A period during which the machine list was not updated.
-struct StaleList {
+struct StaleListPeriod {
   TimePoint from{};
   TimePoint until{};
 };
@@ -107,9 +107,10 @@
   std::vector<RevisionObservation> revisions;
   std::vector<DrainObservation> drains;
   std::vector<LeaveObservation> leaves;
-  std::vector<StaleList> stale_list;
-  std::vector<std::string> cut_by_drain;  ///< Online requests interrupted by a planned shutdown.
-  TimePoint healed{};                     ///< Time at which the last fault ended.
+  std::vector<StaleListPeriod> stale_list_periods;
+  std::vector<std::string>
+      interrupted_by_drain;  ///< Online requests interrupted by a planned shutdown.
+  TimePoint healed{};        ///< Time at which the last fault ended.
 
  private:
   std::uint64_t digest_ = 0;
@@ -118,7 +119,7 @@
 };
 
 /// @return the deterministic answer of every engine to a prompt.
-std::string answer_to(const std::string& prompt);
+std::string answer_for_prompt(const std::string& prompt);
 
 /// @return the prompt of a batch item.
 std::string item_prompt(const std::string& file_id, std::uint32_t item);
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -12,7 +12,7 @@
 namespace dockpoint::simulation {
 namespace {
 
-constexpr std::int64_t kLongestMs = 86'400'000;  // One day.
+constexpr std::int64_t kMaxMilliseconds = 86'400'000;  // One day.
 
 const std::vector<std::string>& process_actions() {
   static const std::vector<std::string> actions{"kill", "restart", "freeze",
@@ -23,7 +23,7 @@
 /// Reads a number of seconds given in whole milliseconds.
 double read_seconds(ObjectReader& reader, const std::string& key, double fallback) {
   const auto fallback_ms = static_cast<std::int64_t>(fallback * 1000);
-  return static_cast<double>(reader.integer(key, {0, kLongestMs}, fallback_ms)) / 1000.0;
+  return static_cast<double>(reader.integer(key, {0, kMaxMilliseconds}, fallback_ms)) / 1000.0;
 }
 
 int read_int(ObjectReader& reader, const std::string& key, IntegerRange range, int fallback) {
--- a/src/simulation/scenario_runner.cpp
+++ b/src/simulation/scenario_runner.cpp
@@ -7,7 +7,7 @@
 
 constexpr Duration kSettleStep{1'000'000};
 /// After the last job ended, for late and repeated records to show.
-constexpr Duration kQuietTime{20'000'000};
+constexpr Duration kLateRecordWait{20'000'000};
 
 Duration to_duration(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
@@ -80,7 +80,7 @@
   }
 
   void operator()(const ProcessStep& step) const {
-    for (const std::string& name : world_.members_of(step.target)) {
+    for (const std::string& name : world_.processes_in(step.target)) {
       if (SimNode* node = world_.node(name)) {
         act(*node, step.action);
       }
@@ -95,7 +95,7 @@
     if (step.kind == "log_down") {
       world_.log().set_down(true);
     } else if (step.kind == "log_slow") {
-      world_.log().set_slow(std::chrono::milliseconds(step.value));
+      world_.log().set_extra_latency(std::chrono::milliseconds(step.value));
     } else if (step.kind == "log_lose_answers") {
       world_.log().set_lost_answers(step.value);
     } else if (step.kind == "log_unreachable") {
@@ -108,7 +108,7 @@
     } else if (step.kind == "network_loss") {
       world_.network().set_loss(step.value);
     } else if (step.kind == "network_doubling") {
-      world_.network().set_doubling(step.value);
+      world_.network().set_duplication(step.value);
     } else if (step.kind == "network_delay") {
       world_.network().set_extra_delay(std::chrono::milliseconds(step.value));
     } else if (step.kind == "list_stale") {
@@ -219,7 +219,7 @@
 }
 
 /// Replaces nodes that stopped after the heal, as an operator's machines would be.
-void restart_stopped(World& world) {
+void restart_stopped_nodes(World& world) {
   for (const auto& [name, node] : world.nodes()) {
     if (!node->up()) {
       node->start();
@@ -246,9 +246,9 @@
   const TimePoint limit = world.events().now() + to_duration(scenario.settle);
   while (!all_ended(world) && world.events().now() < limit) {
     world.events().run_until(world.events().now() + kSettleStep);
-    restart_stopped(world);
+    restart_stopped_nodes(world);
   }
-  world.events().run_until(world.events().now() + kQuietTime);
+  world.events().run_until(world.events().now() + kLateRecordWait);
   trace_final_state(world);
   const std::vector<Violation> found = check_properties(world, scenario);
   report.violations.insert(report.violations.end(), found.begin(), found.end());
--- a/src/simulation/sim_engine.cpp
+++ b/src/simulation/sim_engine.cpp
@@ -22,7 +22,7 @@
   model_ = std::make_unique<emulator::EngineModel>(options_.parameters);
   listeners_.clear();
   step_scheduled_ = false;
-  take_report();
+  refresh_report();
 }
 
 void SimEngine::kill() {
@@ -100,21 +100,21 @@
       if (token.last) {
         const EngineListener listener = std::move(found->second);
         listeners_.erase(found);
-        listener.completed(answer_to(listener.prompt));
+        listener.completed(answer_for_prompt(listener.prompt));
       }
     }
     schedule_step();
   });
 }
 
-void SimEngine::take_report() {
+void SimEngine::refresh_report() {
   report_ = model_->load();
   report_.incarnation = incarnation_;
   report_.sequence = ++report_sequence_;
   report_.leaving = leaving_;
   events_.after(options_.report_interval, [this, generation = generation_] {
     if (generation == generation_) {
-      take_report();
+      refresh_report();
     }
   });
 }
--- a/src/simulation/sim_engine.hpp
+++ b/src/simulation/sim_engine.hpp
@@ -63,11 +63,11 @@
   std::optional<EngineLoad> reported_load() const;
   const emulator::EngineModel& model() const { return *model_; }
   const Options& options() const { return options_; }
-  Place place() const { return {options_.name, options_.zone}; }
+  ProcessLocation location() const { return {options_.name, options_.zone}; }
 
  private:
   void schedule_step();
-  void take_report();
+  void refresh_report();
 
   const Options options_;
   EventQueue& events_;
@@ -77,8 +77,8 @@
   EngineLoad report_;
   std::uint64_t incarnation_ = 0;
   std::uint64_t report_sequence_ = 0;
-  std::uint64_t generation_ =
-      0;  ///< Process generation; events of an earlier generation are ignored.
+  /// Incremented by each start and kill; events of an earlier generation are ignored.
+  std::uint64_t generation_ = 0;
   bool up_ = true;
   bool frozen_ = false;
   bool leaving_ = false;
--- a/src/simulation/sim_log.cpp
+++ b/src/simulation/sim_log.cpp
@@ -14,10 +14,10 @@
 }  // namespace
 
 Duration SimLog::latency() {
-  return kLatency + slow_ + Duration(static_cast<std::int64_t>(random_() % kJitterUs));
+  return kLatency + extra_latency_ + Duration(static_cast<std::int64_t>(random_() % kJitterUs));
 }
 
-bool SimLog::refuses(const std::string& caller) const {
+bool SimLog::is_unavailable_to(const std::string& caller) const {
   return down_ || unreachable_.contains(caller);
 }
 
@@ -31,7 +31,7 @@
 
 void SimLog::heal() {
   down_ = false;
-  slow_ = Duration{};
+  extra_latency_ = Duration{};
   lost_answer_percent_ = 0;
   unreachable_.clear();
 }
@@ -39,7 +39,7 @@
 void SimLog::append(const std::string& caller, const std::string& stream,
                     const std::vector<std::string>& records, AppendDone done) {
   events_.after(latency(), [this, caller, stream, records, done = std::move(done)] {
-    if (refuses(caller)) {
+    if (is_unavailable_to(caller)) {
       events_.after(kRefusalTime, [done] { done(std::nullopt); });
       return;
     }
@@ -64,7 +64,7 @@
 void SimLog::read(const std::string& caller, const std::string& stream, std::uint64_t from,
                   std::size_t limit, ReadDone done) {
   events_.after(latency(), [this, caller, stream, from, limit, done = std::move(done)] {
-    if (refuses(caller)) {
+    if (is_unavailable_to(caller)) {
       events_.after(kRefusalTime, [done] { done(std::nullopt); });
       return;
     }
--- a/src/simulation/sim_log.hpp
+++ b/src/simulation/sim_log.hpp
@@ -32,7 +32,7 @@
 
   // Fault injection.
   void set_down(bool down) { down_ = down; }
-  void set_slow(Duration delay) { slow_ = delay; }
+  void set_extra_latency(Duration delay) { extra_latency_ = delay; }
   void set_lost_answers(int percent) { lost_answer_percent_ = percent; }
   void set_unreachable(const std::string& caller, bool unreachable);
   void heal();
@@ -42,7 +42,7 @@
 
  private:
   Duration latency();
-  bool refuses(const std::string& caller) const;
+  bool is_unavailable_to(const std::string& caller) const;
   void answer_read(const std::string& stream, std::uint64_t from, std::size_t limit,
                    const ReadDone& done);
 
@@ -56,7 +56,7 @@
   };
   std::map<std::string, std::vector<Waiter>> waiters_;
   bool down_ = false;
-  Duration slow_{};
+  Duration extra_latency_{};
   int lost_answer_percent_ = 0;
   std::set<std::string> unreachable_;
 };
--- a/src/simulation/sim_node.cpp
+++ b/src/simulation/sim_node.cpp
@@ -29,7 +29,7 @@
   followed_.clear();
   append_queues_.clear();
   appending_.clear();
-  items_under_way_.clear();
+  items_in_flight_.clear();
   cancelled_items_.clear();
   seen_revision_ = 0;
   log_reachable_ = true;
@@ -58,7 +58,7 @@
   }
 }
 
-void SimNode::exit(bool cuts_calls) {
+void SimNode::exit(bool drops_connections) {
   up_ = false;
   frozen_ = false;
   ++generation_;
@@ -66,7 +66,7 @@
   std::map<RequestNumber, OnlineCall> calls;
   calls.swap(calls_);
   for (auto& [number, call] : calls) {
-    if (cuts_calls) {
+    if (drops_connections) {
       world_.events().after(Duration{1'000}, call.reply.connection_lost);
     }
   }
@@ -113,7 +113,7 @@
     return;
   }
   for (const auto& [number, call] : calls_) {
-    world_.history().cut_by_drain.push_back(call.spec.name);
+    world_.history().interrupted_by_drain.push_back(call.spec.name);
   }
   controller_->leave();
   world_.history().trace(world_.events().now(), "node " + options_.name + " stops");
@@ -176,7 +176,7 @@
     return;
   }
   const std::string bytes = encode(message);
-  world_.network().datagram(place(), target->place(), bytes.size(), [target, bytes] {
+  world_.network().datagram(location(), target->location(), bytes.size(), [target, bytes] {
     if (const auto decoded = decode_peer_message(bytes)) {
       target->receive(*decoded);
     }
@@ -196,12 +196,12 @@
     controller_->configuration_fetched(revision, local_now());
   });
   world_.network().message(
-      place(), peer->place(),
+      location(), peer->location(),
       [this, peer, adopt] {
         peer->run(peer->generation_, [this, peer, adopt] {
           const ConfigurationRevision revision = peer->controller_->configuration().current();
           world_.network().message(
-              peer->place(), place(), [adopt, revision] { adopt(revision); }, [] {});
+              peer->location(), location(), [adopt, revision] { adopt(revision); }, [] {});
         });
       },
       [] {});
@@ -216,11 +216,11 @@
     controller_->load_polled(engine, load, local_now());
   });
   world_.network().message(
-      place(), target->place(),
+      location(), target->location(),
       [this, target, report] {
         if (const std::optional<EngineLoad> load = target->reported_load()) {
           world_.network().message(
-              target->place(), place(), [report, load] { report(*load); }, [] {});
+              target->location(), location(), [report, load] { report(*load); }, [] {});
         }
       },
       [] {});
@@ -239,7 +239,7 @@
   }
   const auto refused = guard<Error>([failed](const Error& error) { failed(error); });
   world_.network().message(
-      place(), target->place(),
+      location(), target->location(),
       [target, send, refused] {
         if (target->up()) {
           send(*target);
--- a/src/simulation/sim_node.hpp
+++ b/src/simulation/sim_node.hpp
@@ -71,7 +71,7 @@
   bool frozen() const { return frozen_; }
   bool draining() const { return draining_; }
   const Options& options() const { return options_; }
-  Place place() const { return {options_.name, options_.zone}; }
+  ProcessLocation location() const { return {options_.name, options_.zone}; }
   const NodeController& controller() const { return *controller_; }
 
   // What arrives over the network; deferred while frozen, lost while down.
@@ -127,7 +127,7 @@
   void write_next(const std::string& stream);
   void observe_configuration();
   void finish_drain();
-  void exit(bool cuts_calls);
+  void exit(bool drops_connections);
 
   void submit_online(RequestNumber number);
   void attempt_ended(RequestNumber request, const std::string& attempt_id, AttemptEnd end);
@@ -156,7 +156,7 @@
   std::uint64_t next_follow_token_ = 1;
   std::map<std::string, std::deque<std::string>> append_queues_;
   std::set<std::string> appending_;
-  std::map<std::string, std::string> items_under_way_;  ///< Engine by request id.
+  std::map<std::string, std::string> items_in_flight_;  ///< Engine by request id.
   std::set<std::string> cancelled_items_;
   std::uint64_t seen_revision_ = 0;
   TimePoint log_answered_{};
--- a/src/simulation/sim_node_batch.cpp
+++ b/src/simulation/sim_node_batch.cpp
@@ -16,7 +16,7 @@
                          options_.name + std::to_string(generation_);
   ItemOutcome outcome = make_outcome(item, ItemEnd::kUnknown);
   outcome.custom_id = "item-" + std::to_string(item.item);
-  items_under_way_[id] = item.engine;
+  items_in_flight_[id] = item.engine;
   SimEngine* target = world_.engine(item.engine);
   const auto end = [this, outcome, id](ItemEnd how) {
     return guarded([this, outcome, id, how] {
@@ -32,31 +32,32 @@
   request.tokens = world_.file_tokens(item.input_file_id);
   request.batch_class = options_.knobs.mechanisms.batch_priority;
   request.is_batch = true;
-  const auto back = [this, target](std::function<void()> action, std::function<void()> broken) {
-    world_.network().message(target->place(), place(), std::move(action), std::move(broken));
+  const auto send_back = [this, target](std::function<void()> action,
+                                        std::function<void()> broken) {
+    world_.network().message(target->location(), location(), std::move(action), std::move(broken));
   };
   const std::function<void()> lost = end(ItemEnd::kUnknown);
   EngineListener listener;
   listener.first_token = [] {};
-  listener.completed = [this, back, outcome, id, lost](const std::string& answer) {
-    back(guarded([this, outcome, id, answer] {
-           ItemOutcome ended = outcome;
-           ended.end = ItemEnd::kAnswered;
-           ended.status = 200;
-           ended.body = answer;
-           end_item(ended, id);
-         }),
-         lost);
+  listener.completed = [this, send_back, outcome, id, lost](const std::string& answer) {
+    send_back(guarded([this, outcome, id, answer] {
+                ItemOutcome ended = outcome;
+                ended.end = ItemEnd::kAnswered;
+                ended.status = 200;
+                ended.body = answer;
+                end_item(ended, id);
+              }),
+              lost);
   };
-  listener.broken = [back, lost] { back(lost, lost); };
-  world_.events().after(Duration{0}, [this, target, request, listener, back, end, lost] {
+  listener.broken = [send_back, lost] { send_back(lost, lost); };
+  world_.events().after(Duration{0}, [this, target, request, listener, send_back, end, lost] {
     world_.network().message(
-        place(), target->place(),
-        [target, request, listener, back, end, lost] {
+        location(), target->location(),
+        [target, request, listener, send_back, end, lost] {
           if (!target->up()) {
-            back(end(ItemEnd::kNotSent), lost);
+            send_back(end(ItemEnd::kNotSent), lost);
           } else if (!target->frozen() && !target->submit(request, listener)) {
-            back(end(ItemEnd::kRefused), lost);
+            send_back(end(ItemEnd::kRefused), lost);
           }
         },
         end(ItemEnd::kNotSent));
@@ -65,7 +66,7 @@
 }
 
 void SimNode::end_item(ItemOutcome outcome, const std::string& request_id) {
-  if (items_under_way_.erase(request_id) == 0) {
+  if (items_in_flight_.erase(request_id) == 0) {
     return;  // It ended before: a late answer after the timeout, say.
   }
   if (cancelled_items_.erase(request_id) > 0 && outcome.end != ItemEnd::kAnswered) {
@@ -76,12 +77,13 @@
 
 void SimNode::cancel_item(int, const std::string& job, ItemIndex item) {
   const std::string prefix = job + "-" + std::to_string(item) + "-e";
-  for (const auto& [id, engine] : items_under_way_) {
+  for (const auto& [id, engine] : items_in_flight_) {
     if (id.starts_with(prefix)) {
       cancelled_items_.insert(id);
       SimEngine* target = world_.engine(engine);
       world_.network().message(
-          place(), target->place(), [target, request = id] { target->cancel(request); }, [] {});
+          location(), target->location(), [target, request = id] { target->cancel(request); },
+          [] {});
     }
   }
 }
@@ -111,18 +113,19 @@
     };
     world_.events().after(kConfirmationWait,
                           guarded([answer] { answer({}, unconfirmed(RunState::kUnknown)); }));
-    const bool passed_on = forward(
+    const bool forwarded = forward(
         partition, forwards,
         [this, job, forwards, answer](SimNode& owner) {
           owner.create_job(
               job, forwards + 1,
               [this, &owner, answer](const std::string& id, const std::optional<Error>& error) {
                 world_.network().message(
-                    owner.place(), place(), [answer, id, error] { answer(id, error); }, [] {});
+                    owner.location(), location(), [answer, id, error] { answer(id, error); },
+                    [] {});
               });
         },
         [answer](const Error& error) { answer({}, error); });
-    if (passed_on) {
+    if (forwarded) {
       return;
     }
     const std::string id = job.id;
@@ -143,18 +146,19 @@
 void SimNode::cancel_job(const std::string& id, int forwards, JobReply reply) {
   run(generation_, [this, id, forwards, reply = std::move(reply)] {
     const int partition = partition_of_job(id, controller_->configuration().config()->partitions);
-    const bool passed_on = forward(
+    const bool forwarded = forward(
         partition, forwards,
         [this, id, forwards, reply](SimNode& owner) {
           owner.cancel_job(
               id, forwards + 1,
               [this, &owner, reply](const std::string& job, const std::optional<Error>& error) {
                 world_.network().message(
-                    owner.place(), place(), [reply, job, error] { reply(job, error); }, [] {});
+                    owner.location(), location(), [reply, job, error] { reply(job, error); },
+                    [] {});
               });
         },
         [reply](const Error& error) { reply({}, error); });
-    if (passed_on) {
+    if (forwarded) {
       return;
     }
     const JobState* job = controller_->find_job(id);
--- a/src/simulation/sim_node_online.cpp
+++ b/src/simulation/sim_node_online.cpp
@@ -89,39 +89,40 @@
   sent.prompt = call.spec.prompt;
   sent.tokens = call.spec.tokens;
   EngineListener listener;
-  const auto back = [this, target](std::function<void()> action, std::function<void()> broken) {
-    world_.network().message(target->place(), place(), std::move(action), std::move(broken));
+  const auto send_back = [this, target](std::function<void()> action,
+                                        std::function<void()> broken) {
+    world_.network().message(target->location(), location(), std::move(action), std::move(broken));
   };
   const std::function<void()> lost = end(AttemptEnd::kUnknown);
-  listener.first_token = [this, back, request, id, lost] {
-    back(guarded([this, request, id] {
-           const auto found = calls_.find(request);
-           if (found != calls_.end() && found->second.attempt_id == id) {
-             found->second.first_token = true;
-             found->second.reply.first_token();
-           }
-         }),
-         lost);
+  listener.first_token = [this, send_back, request, id, lost] {
+    send_back(guarded([this, request, id] {
+                const auto found = calls_.find(request);
+                if (found != calls_.end() && found->second.attempt_id == id) {
+                  found->second.first_token = true;
+                  found->second.reply.first_token();
+                }
+              }),
+              lost);
   };
-  listener.completed = [this, back, request, id, end, lost](const std::string& answer) {
-    back(guarded([this, request, id, answer, end] {
-           const auto found = calls_.find(request);
-           if (found == calls_.end() || found->second.attempt_id != id) {
-             return;
-           }
-           found->second.reply.answered(answer);
-           attempt_ended(request, id, AttemptEnd::kCompleted);
-         }),
-         lost);
+  listener.completed = [this, send_back, request, id, end, lost](const std::string& answer) {
+    send_back(guarded([this, request, id, answer, end] {
+                const auto found = calls_.find(request);
+                if (found == calls_.end() || found->second.attempt_id != id) {
+                  return;
+                }
+                found->second.reply.answered(answer);
+                attempt_ended(request, id, AttemptEnd::kCompleted);
+              }),
+              lost);
   };
-  listener.broken = [back, lost] { back(lost, lost); };
+  listener.broken = [send_back, lost] { send_back(lost, lost); };
   world_.network().message(
-      place(), target->place(),
-      [this, target, sent, listener, back, end, lost] {
+      location(), target->location(),
+      [this, target, sent, listener, send_back, end, lost] {
         if (!target->up()) {
-          back(end(AttemptEnd::kNotSent), lost);
+          send_back(end(AttemptEnd::kNotSent), lost);
         } else if (!target->frozen() && !target->submit(sent, listener)) {
-          back(end(AttemptEnd::kRefused), lost);
+          send_back(end(AttemptEnd::kRefused), lost);
         }
       },
       end(AttemptEnd::kNotSent));
@@ -141,11 +142,12 @@
   }
   OnlineCall& call = found->second;
   call.attempt_id.clear();
-  const bool partly = end == AttemptEnd::kUnknown && call.first_token;
+  const bool partially_streamed = end == AttemptEnd::kUnknown && call.first_token;
   if (end == AttemptEnd::kCompleted) {
     calls_.erase(found);
   }
-  controller_->online_attempt_ended(request, partly ? AttemptEnd::kInterrupted : end, local_now());
+  controller_->online_attempt_ended(request, partially_streamed ? AttemptEnd::kInterrupted : end,
+                                    local_now());
 }
 
 void SimNode::refuse(RequestNumber request, const Error& error) {
@@ -180,18 +182,18 @@
       }
     });
     world_.events().after(kConfirmationWait, give_up);
-    const auto back = guard<std::optional<Error>>(answer);
-    const bool passed_on = forward(
+    const auto send_back = guard<std::optional<Error>>(answer);
+    const bool forwarded = forward(
         partition, forwards,
-        [this, ticket, forwards, back](SimNode& owner) {
-          owner.record_attempt(ticket, forwards + 1,
-                               [this, &owner, back](const std::optional<Error>& error) {
-                                 world_.network().message(
-                                     owner.place(), place(), [back, error] { back(error); }, [] {});
-                               });
+        [this, ticket, forwards, send_back](SimNode& owner) {
+          owner.record_attempt(
+              ticket, forwards + 1, [this, &owner, send_back](const std::optional<Error>& error) {
+                world_.network().message(
+                    owner.location(), location(), [send_back, error] { send_back(error); }, [] {});
+              });
         },
         [answer](const Error& error) { answer(error); });
-    if (passed_on) {
+    if (forwarded) {
       return;
     }
     const std::optional<Error> refused =
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -12,7 +12,7 @@
 constexpr int kFirstEnginePort = 9001;
 constexpr int kOnlineResends = 20;
 /// After the deadline a caller closes its connection.
-constexpr Duration kClientPatience{5'000'000};
+constexpr Duration kCloseDelayAfterDeadline{5'000'000};
 
 std::string zone_name(int index) {
   return "zone-" + std::to_string(index + 1);
@@ -96,7 +96,7 @@
   return found == engines_.end() ? nullptr : found->second.get();
 }
 
-std::vector<std::string> World::members_of(const std::string& target) const {
+std::vector<std::string> World::processes_in(const std::string& target) const {
   std::vector<std::string> members;
   for (const auto& [name, node] : nodes_) {
     if (name == target || node->options().zone == target) {
@@ -137,7 +137,7 @@
 
 void World::set_list_stale(bool stale) {
   if (list_stale_ && !stale) {
-    history_.stale_list.push_back({list_stale_since_, events_.now()});
+    history_.stale_list_periods.push_back({list_stale_since_, events_.now()});
   }
   if (!list_stale_) {
     list_stale_since_ = events_.now();
@@ -168,7 +168,7 @@
   return found == nodes_.end() ? nodes_.begin()->first : found->first;
 }
 
-Place World::client_of(const SimNode& node) const {
+ProcessLocation World::client_location(const SimNode& node) const {
   return {"client", node.options().zone};
 }
 
@@ -191,18 +191,18 @@
                                  : hash128_hex(job.content_digest + std::to_string(random_()));
   sent.id = make_job_id(partition_of(unique, deployment_.partitions), unique);
   auto answered = std::make_shared<bool>(false);
-  const auto again = [this, name, job, through, attempt] {
+  const auto retry = [this, name, job, through, attempt] {
     events_.after(kClientRetryPause, [this, name, job, through, attempt] {
       try_submit(name, job, next_node(through), attempt + 1);
     });
   };
-  const JobReply reply = [this, name, answered, again](const std::string& id,
+  const JobReply reply = [this, name, answered, retry](const std::string& id,
                                                        const std::optional<Error>& error) {
     if (std::exchange(*answered, true)) {
       return;
     }
     if (error) {
-      again();
+      retry();
       return;
     }
     history_.trace(events_.now(), "job " + name + " accepted as " + id);
@@ -215,12 +215,12 @@
   SimNode* target = node(through);
   if (target != nullptr && target->up()) {
     network_.message(
-        client_of(*target), target->place(),
+        client_location(*target), target->location(),
         [target, sent, reply] { target->create_job(sent, 0, reply); }, [] {});
   }
-  events_.after(kClientTimeout, [answered, again] {
+  events_.after(kClientTimeout, [answered, retry] {
     if (!std::exchange(*answered, true)) {
-      again();
+      retry();
     }
   });
 }
@@ -230,18 +230,18 @@
 }
 
 void World::try_cancel(const std::string& name, const std::string& through) {
-  const auto again = [this, name, through] {
+  const auto retry = [this, name, through] {
     events_.after(kClientRetryPause,
                   [this, name, through] { try_cancel(name, next_node(through)); });
   };
   const JobObservation& observation = history_.jobs[name];
   SimNode* target = node(through);
   if (observation.accepted_ids.empty() || target == nullptr || !target->up()) {
-    again();
+    retry();
     return;
   }
   auto answered = std::make_shared<bool>(false);
-  const JobReply reply = [this, name, answered, again](const std::string&,
+  const JobReply reply = [this, name, answered, retry](const std::string&,
                                                        const std::optional<Error>& error) {
     if (std::exchange(*answered, true)) {
       return;
@@ -250,7 +250,7 @@
       return;  // It completed first.
     }
     if (error) {
-      again();
+      retry();
       return;
     }
     history_.trace(events_.now(), "job " + name + " cancelled");
@@ -259,11 +259,11 @@
   };
   const std::string id = observation.accepted_ids.front();
   network_.message(
-      client_of(*target), target->place(),
+      client_location(*target), target->location(),
       [target, id, reply] { target->cancel_job(id, 0, reply); }, [] {});
-  events_.after(kClientTimeout, [answered, again] {
+  events_.after(kClientTimeout, [answered, retry] {
     if (!std::exchange(*answered, true)) {
-      again();
+      retry();
     }
   });
 }
@@ -282,7 +282,7 @@
   observation.repeatable = spec.repeatable;
   observation.node = through;
   observation.sent = events_.now();
-  observation.expected = answer_to(spec.prompt);
+  observation.expected = answer_for_prompt(spec.prompt);
   const auto end = [this, name, spec, through, resends, attempt](const std::string& how) {
     OnlineObservation& ended = history_.online[name];
     ended.ended = events_.now();
@@ -305,9 +305,9 @@
   auto ended = std::make_shared<bool>(false);
   OnlineReply reply;
   reply.first_token = [this, name] {
-    OnlineObservation& begun = history_.online[name];
-    begun.first_token = events_.now();
-    ++begun.beginnings;
+    OnlineObservation& started = history_.online[name];
+    started.first_token = events_.now();
+    ++started.first_token_count;
   };
   reply.answered = [this, name, ended, end](const std::string& answer) {
     if (std::exchange(*ended, true)) {
@@ -335,7 +335,7 @@
     end("lost its node");
   };
   network_.message(
-      client_of(*target), target->place(),
+      client_location(*target), target->location(),
       [target, spec, reply] {
         if (target->up()) {
           target->online(spec, reply);
@@ -344,7 +344,7 @@
         }
       },
       reply.connection_lost);
-  events_.after(spec.deadline + kClientPatience, reply.connection_lost);
+  events_.after(spec.deadline + kCloseDelayAfterDeadline, reply.connection_lost);
 }
 
 void World::apply_configuration(const std::string& tag, const std::string& through,
@@ -369,7 +369,7 @@
     history_.trace(events_.now(), "change " + observation.id + (taken ? " taken" : " refused"));
   };
   network_.message(
-      client_of(*target), target->place(),
+      client_location(*target), target->location(),
       [target, change, reply] { target->apply(change, reply); }, [] {});
 }
 
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -52,7 +52,7 @@
   std::map<std::string, std::unique_ptr<SimEngine>>& engines() { return engines_; }
 
   /// @return names of the nodes and engines in a zone, or the one with this name.
-  std::vector<std::string> members_of(const std::string& target) const;
+  std::vector<std::string> processes_in(const std::string& target) const;
 
   /// @return the machine list as the platform shows it now.
   std::vector<MachineEntry> machine_list();
@@ -85,7 +85,7 @@
                   int attempt);
   void try_cancel(const std::string& name, const std::string& through);
   void try_online(const OnlineSpec& spec, const std::string& through, bool resends, int attempt);
-  Place client_of(const SimNode& node) const;
+  ProcessLocation client_location(const SimNode& node) const;
 
   const Deployment deployment_;
   Knobs knobs_;
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(simulation)
 
-BOOST_AUTO_TEST_CASE(one_seed_gives_one_history) {
+BOOST_AUTO_TEST_CASE(same_seed_gives_identical_history) {
   for (const std::uint64_t seed : {3, 14, 15}) {
     const Scenario scenario = draw_scenario(seed);
     const RunReport first = run_scenario(scenario, {{}, true});
@@ -28,7 +28,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_written_scenario_replays_what_was_drawn) {
+BOOST_AUTO_TEST_CASE(serialized_scenario_replays_identically) {
   const Scenario drawn = draw_scenario(92);
   std::optional<Scenario> read;
   error_of([&]() -> Result<void> {
