--- a/src/bench/forwarding_bench.cpp
+++ b/src/bench/forwarding_bench.cpp
@@ -103,7 +103,7 @@
   measured.failures += failures;
 }
 
-/// Reads the node's CPU time from its metrics.
+/// Reads the node's total CPU seconds from its metrics.
 Result<double> node_cpu_seconds(const std::string& node) {
   constexpr std::string_view kName = "dockpoint_process_cpu_seconds_total ";
   HttpSessionPool sessions(std::chrono::seconds(5));
@@ -120,7 +120,7 @@
       return std::stod(line.substr(kName.size()));
     }
   }
-  return fail(ResultCode::kNotFound, "the node shows no CPU time");
+  return fail(ResultCode::kNotFound, "the metrics of the node contain no CPU time");
 }
 
 void print_row(const char* name, const Measurement& measured) {
--- a/src/bench/recovery_bench.hpp
+++ b/src/bench/recovery_bench.hpp
@@ -4,9 +4,10 @@
 
 namespace dockpoint::bench {
 
-/// Measures what a new owner reads and computes to take over a partition that holds one job, from
-/// a checkpoint and from the whole history, for several sizes of the job. The log's own latency
-/// and transfer time come on top of both.
+/// Measures the bytes read and the time spent by a new owner that takes over a partition with one
+/// job, from a checkpoint and from the whole history.
+/// The latency and transfer time of the log are not included.
+/// @param items job sizes to measure, in items.
 void run_recovery_bench(const std::vector<int>& items);
 
 }  // namespace dockpoint::bench
--- a/src/simulation/checkers.cpp
+++ b/src/simulation/checkers.cpp
@@ -8,20 +8,23 @@
 namespace dockpoint::simulation {
 namespace {
 
-/// After a confirmed cancel the owner's view, the engines' queues and the network may lag.
+/// Items may still start this long after a confirmed cancellation, because the owner's state, the
+/// engines' queues and the network lag behind it.
 constexpr Duration kCancelBound{3'000'000};
-/// A leave may be told by the lagging list only; then a few seconds pass.
+/// Engines may still receive requests this long after their leave became visible. If only the
+/// machine list shows it, nodes learn of it a few seconds later.
 constexpr Duration kLeaveBound{4'000'000};
-/// An accepted configuration is in force everywhere within this time of the last fault.
+/// All nodes must apply an accepted configuration within this time after the last fault.
 constexpr Duration kConfigurationBound{15'000'000};
-/// A request that is refused is refused at once, or when its deadline passes.
+/// Maximum time to refuse a request that was not executed; a request whose deadline passes is not
+/// counted.
 constexpr Duration kRefusalBound{5'000'000};
-/// Longest first token that batch may bring about while engines have room for online work.
+/// Maximum time to first token under batch load while engines have free capacity for online work.
 constexpr Duration kFirstTokenBound{1'000'000};
 
 using Violations = std::vector<Violation>;
 
-/// @return the folded state of a job on the node that owns it, or null.
+/// @return the state of a job on the node that owns it, or null if no running node owns it.
 const JobState* find_job_on_owner(World& world, const std::string& id) {
   for (const auto& [name, node] : world.nodes()) {
     if (!node->up()) {
@@ -36,7 +39,7 @@
   return nullptr;
 }
 
-/// @return how often each subject was started by any engine.
+/// @return the number of starts of each subject over all engines.
 std::map<std::string, int> start_counts(World& world) {
   std::map<std::string, int> counts;
   for (const EngineStart& start : world.history().starts) {
@@ -80,7 +83,8 @@
   }
 }
 
-/// Every result that the owner's index points to is the reference's, and belongs to its item.
+/// Checks that each result in the owner's index equals the result of the reference model and
+/// answers the prompt of its item.
 void check_results_readable(World& world, const Scenario&, Violations& violations) {
   const Reference reference = build_reference(world);
   for (const auto& [name, job] : world.history().jobs) {
@@ -88,7 +92,7 @@
       const JobState* actual = find_job_on_owner(world, id);
       const auto found = reference.jobs.find(id);
       if (actual == nullptr || found == reference.jobs.end()) {
-        continue;  // Reported by exactly_once.
+        continue;  // check_exactly_once reports this.
       }
       const auto& records =
           world.log().records(job_stream(partition_of_job(id, world.deployment().partitions)));
@@ -135,8 +139,8 @@
 }
 
 void check_online_before_batch(World& world, const Scenario&, Violations& violations) {
-  // Engines have room for online work, so a late first token means waiting behind batch. Requests
-  // that met a fault are left out: retries take time of their own.
+  // Engines have capacity for online work, so a late first token means that the request waited for
+  // batch work. Requests affected by a fault are skipped, because retries add to their latency.
   for (const auto& [name, request] : world.history().online) {
     const bool met_fault = request.connection_lost || !request.answered;
     if (!met_fault && request.first_token - request.sent > kFirstTokenBound) {
@@ -166,7 +170,8 @@
 }
 
 void check_not_run_is_true(World& world, const Scenario&, Violations& violations) {
-  // Requests that are never resent have a name of their own; any start is theirs.
+  // A request that is sent only once has a unique subject, so every start of that subject belongs
+  // to it.
   std::map<std::string, int> send_counts;
   for (const auto& [name, request] : world.history().online) {
     ++send_counts[request.key.empty() ? request.name : request.key];
@@ -207,7 +212,7 @@
   }
 }
 
-/// @return when the engine itself or the machine list first told of the leave.
+/// @return the time at which the engine's announcement or the machine list first showed the leave.
 TimePoint leave_visible_at(World& world, const LeaveObservation& leave) {
   if (leave.announced) {
     return leave.at;
@@ -281,7 +286,7 @@
                                                  std::to_string(reference.change_ids.size())});
     }
   }
-  // In force everywhere in time, once nothing hinders it.
+  // No node may apply a revision later than kConfigurationBound after the last fault.
   for (const RevisionObservation& observed : world.history().revisions) {
     const bool late = world.history().healed != TimePoint{} &&
                       observed.at > world.history().healed + kConfigurationBound;
@@ -323,7 +328,7 @@
   }
 }
 
-/// Between tenants that ask for the same, nobody waits much longer than another.
+/// Checks that the tenant with the fewest requests gets nearly all of them answered.
 void check_no_starvation(World& world, const Scenario&, Violations& violations) {
   struct Count {
     int sent = 0;
@@ -341,7 +346,8 @@
   if (tenants.size() < 2) {
     return;
   }
-  // The tenant that asks for least is below its share, so nearly all of its requests are answered.
+  // The tenant with the lowest demand stays below its fair share, so nearly all of its requests
+  // must be answered.
   constexpr double kMinAnsweredShare = 0.9;
   const Count& lowest_tenant = lowest_demand->second;
   if (lowest_tenant.answered < kMinAnsweredShare * lowest_tenant.sent) {
--- a/src/simulation/explorer.cpp
+++ b/src/simulation/explorer.cpp
@@ -12,7 +12,8 @@
 constexpr double kLastFault = 40.0;
 constexpr double kEnd = 60.0;
 
-/// Draws with explicit arithmetic, so that a seed means the same with every standard library.
+/// Random numbers from explicit arithmetic instead of standard distributions, so that a seed gives
+/// the same scenario with every standard library.
 class SeededRandom {
  public:
   explicit SeededRandom(std::uint64_t seed) : random_(seed) {}
@@ -175,8 +176,8 @@
   std::stable_sort(scenario.steps.begin(), scenario.steps.end(),
                    [](const Step& left, const Step& right) { return left.at < right.at; });
   scenario.end = kEnd;
-  // Load and faults are drawn together, so requests may rightly be slow or refused: how long they
-  // take is for scenarios that are made for it.
+  // Under random load and faults, requests may legitimately be slow or refused. Latency and
+  // refusals are checked by the scenarios written for them.
   for (const PropertyInfo& property : property_table()) {
     if (property.name != "online_before_batch" && property.name != "no_starvation" &&
         property.name != "refused_at_once") {
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -12,7 +12,7 @@
 namespace dockpoint::simulation {
 namespace {
 
-constexpr std::int64_t kMaxMilliseconds = 86'400'000;  // One day.
+constexpr std::int64_t kMaxMilliseconds = 86'400'000;  // One day
 
 const std::vector<std::string>& process_actions() {
   static const std::vector<std::string> actions{"kill", "restart", "freeze",
@@ -20,7 +20,7 @@
   return actions;
 }
 
-/// Reads a number of seconds given in whole milliseconds.
+/// Reads a time in whole milliseconds and returns it in seconds.
 double read_seconds(ObjectReader& reader, const std::string& key, double fallback) {
   const auto fallback_ms = static_cast<std::int64_t>(fallback * 1000);
   return static_cast<double>(reader.integer(key, {0, kMaxMilliseconds}, fallback_ms)) / 1000.0;
@@ -167,7 +167,7 @@
   return array;
 }
 
-/// Writes one line of a scenario.
+/// Builds one line of a scenario file.
 class LineWriter {
  public:
   explicit LineWriter(const std::string& verb) : line_(new Poco::JSON::Object(kKeepOrder)) {
--- a/src/simulation/scenario.hpp
+++ b/src/simulation/scenario.hpp
@@ -7,8 +7,8 @@
 #include "dockpoint/core/error.hpp"
 #include "simulation/world.hpp"
 
-/// The test language: a scenario is a text file with one JSON object a line, each a verb with its
-/// arguments. docs/SCENARIOS.md describes the verbs.
+/// The scenario language: a scenario is a text file with one JSON object per line. Each object
+/// holds a verb and its arguments. docs/SCENARIOS.md describes the verbs.
 namespace dockpoint::simulation {
 
 struct SubmitStep {
@@ -31,13 +31,13 @@
 };
 struct OnlineStep {
   std::string name = "online";
-  double rate = 10;     ///< Requests a second.
-  double seconds = 10;  ///< For so long.
+  double rate = 10;     ///< Requests per second.
+  double seconds = 10;  ///< Duration of the load.
   int tokens = 16;
   std::string tenant = "default";
   bool repeatable = true;
   bool keys = false;    ///< Each request carries an idempotency key.
-  bool resend = false;  ///< Callers resend what was not answered.
+  bool resend = false;  ///< Callers resend requests that were not answered.
   int deadline_ms = 60'000;
   std::string through = "all";
 };
@@ -46,22 +46,23 @@
   std::string through = "node-1";
   std::int64_t base = -1;
 };
-/// `kill`, `restart`, `freeze`, `wake`, `drain` or `leave`, of a node, an engine or a zone.
+/// Applies `kill`, `restart`, `freeze`, `wake`, `drain` or `leave` to a node, an engine or all
+/// processes of a zone.
 struct ProcessStep {
   std::string action;
   std::string target;
 };
-/// A fault of the platform or the network; see `fault_kinds`.
+/// Injects a fault of the platform or the network; see `fault_kinds`.
 struct FaultStep {
   std::string kind;
   int value = 0;     ///< Percent or milliseconds.
-  std::string from;  ///< Of a cut: a process or a zone.
+  std::string from;  ///< Source of a network cut: a process or a zone.
   std::string to;
   bool both_ways = false;
-  std::string target;  ///< Of a log that one node cannot reach.
+  std::string target;  ///< Node that cannot reach the log, for `log_unreachable`.
 };
 struct HealStep {};
-/// Expects a job's status, or the revision in force on a node.
+/// Checks the status of a job, or the configuration revision applied by a node.
 struct ExpectStep {
   std::string job;
   std::string status;
@@ -82,23 +83,23 @@
   std::uint64_t seed = 1;
   Deployment deployment;
   std::vector<Step> steps;
-  double end = 60;                  ///< Seconds; then everything is healed.
-  double settle = 180;              ///< Longest time after that until all has ended.
-  std::vector<std::string> checks;  ///< Properties to check; empty: all.
-  /// Mechanisms without which this scenario must fail.
+  double end = 60;                  ///< Seconds until all faults are ended.
+  double settle = 180;              ///< Maximum seconds after that until all work has ended.
+  std::vector<std::string> checks;  ///< Properties to check; all if empty.
+  /// Mechanisms whose removal must make this scenario fail.
   std::vector<std::string> fails_without;
 };
 
-/// Parses a scenario. The error names line, verb and argument.
+/// Parses a scenario. The error message names the line and the offending verb or argument.
 Result<Scenario> parse_scenario(const std::string& name, const std::string& text);
 
 /// Reads a scenario file.
 Result<Scenario> load_scenario(const std::string& path);
 
-/// @return the scenario as text that `parse_scenario` reads.
+/// @return the scenario in the format that `parse_scenario` reads.
 std::string to_text(const Scenario& scenario);
 
-/// @return the kinds of `fault`.
+/// @return all values of `FaultStep::kind`.
 const std::vector<std::string>& fault_kinds();
 
 }  // namespace dockpoint::simulation
--- a/src/simulation/scenario_runner.cpp
+++ b/src/simulation/scenario_runner.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 constexpr Duration kSettleStep{1'000'000};
-/// After the last job ended, for late and repeated records to show.
+/// Time simulated after the last job ended, in which late and duplicate records can still arrive.
 constexpr Duration kLateRecordWait{20'000'000};
 
 Duration to_duration(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-/// Carries out steps on a world.
+/// Executes scenario steps on a world.
 class StepRunner {
  public:
   StepRunner(World& world, std::vector<Violation>& violations)
@@ -116,7 +116,7 @@
     }
   }
 
-  /// Ends the faults of platform and network; killed processes stay dead.
+  /// Ends platform and network faults. Killed processes are not restarted.
   void operator()(const HealStep&) const {
     world_.network().heal();
     world_.log().heal();
@@ -196,7 +196,7 @@
   std::vector<Violation>& violations_;
 };
 
-/// Adds each node's view at the end to the history, for whoever reads it.
+/// Adds the final membership and partition state of each node to the trace, for diagnosis.
 void trace_final_state(World& world) {
   for (const auto& [name, node] : world.nodes()) {
     if (!node->up()) {
@@ -218,7 +218,7 @@
   }
 }
 
-/// Replaces nodes that stopped after the heal, as an operator's machines would be.
+/// Restarts nodes that stopped after all faults ended, as an operator would replace machines.
 void restart_stopped_nodes(World& world) {
   for (const auto& [name, node] : world.nodes()) {
     if (!node->up()) {
--- a/src/simulation/sim_node.hpp
+++ b/src/simulation/sim_node.hpp
@@ -18,7 +18,7 @@
 class World;
 struct EngineListener;
 
-/// An online request as its caller sends it.
+/// An online request as sent by its caller.
 struct OnlineSpec {
   std::string name;
   std::string prompt;
@@ -26,11 +26,11 @@
   std::string tenant = "default";
   int tokens = 16;
   bool repeatable = true;
-  std::string key;  ///< Idempotency key; empty: none.
+  std::string key;  ///< Idempotency key; empty if the request has none.
   Duration deadline{60'000'000};
 };
 
-/// What an online caller hears.
+/// Callbacks to the caller of an online request.
 struct OnlineReply {
   std::function<void()> first_token;
   std::function<void(const std::string& answer)> answered;
@@ -38,13 +38,13 @@
   std::function<void()> connection_lost;
 };
 
-/// The end of a request about a job: the job's id, or an error.
+/// Receives the result of a job request: the job id, or an error.
 using JobReply = std::function<void(const std::string& id, const std::optional<Error>& error)>;
 using ChangeReply = std::function<void(const ChangeOutcome&)>;
 
 /// One node in simulated time: the `NodeController` that `dockpointd` runs, with simulated effects.
-/// What the daemon's traffic threads do around it (passing requests on to owners, writing attempts
-/// down, repeating appends) is done here in the same steps, without threads.
+/// It also performs the work of the daemon's traffic threads in the same steps, but without
+/// threads: forwarding requests to owners, recording attempts and retrying appends.
 class SimNode : private NodeActions {
  public:
   struct Options {
@@ -54,7 +54,7 @@
     std::string api_address;
     std::vector<std::string> seeds;
     Knobs knobs;
-    double clock_rate = 1.0;  ///< Of the node's own clock against true time.
+    double clock_rate = 1.0;  ///< Rate of the node's clock relative to simulated time.
     std::uint64_t seed = 0;
   };
 
@@ -64,7 +64,7 @@
   void kill();
   void freeze();
   void wake();
-  /// A planned stop, as on SIGTERM.
+  /// Starts a planned shutdown, as on SIGTERM.
   void drain();
 
   bool up() const { return up_; }
@@ -74,7 +74,7 @@
   ProcessLocation location() const { return {options_.name, options_.zone}; }
   const NodeController& controller() const { return *controller_; }
 
-  // What arrives over the network; deferred while frozen, lost while down.
+  // Network input. It is deferred while the node is frozen and dropped while it is down.
   void receive(const PeerMessage& message);
   void online(const OnlineSpec& spec, OnlineReply reply);
   void create_job(JobSpec job, int forwards, JobReply reply);
@@ -93,7 +93,7 @@
   };
   using AttemptReply = std::function<void(const std::optional<Error>&)>;
 
-  // NodeActions.
+  // Implementation of NodeActions.
   void send(const std::string& address, const PeerMessage& message) override;
   void start_attempt(RequestNumber request, const EngineConfig& engine, int priority) override;
   void refuse(RequestNumber request, const Error& error) override;
@@ -107,9 +107,10 @@
   void dispatch_item(const ItemDispatch& item) override;
   void cancel_item(int partition, const std::string& job, ItemIndex item) override;
 
-  /// Runs `action` as an event of this run of the node: now, after the freeze, or never.
+  /// Runs `action` if the node is still in `generation`: at once, or on wake-up if the node is
+  /// frozen. Drops it if the node has stopped or restarted since.
   void run(std::uint64_t generation, const std::function<void()>& action);
-  /// @return a callback that does so.
+  /// @return a callback that passes `action` to `run` with the current generation.
   template <class Argument>
   std::function<void(const Argument&)> guard(
       std::type_identity_t<std::function<void(const Argument&)>> action);
@@ -136,7 +137,9 @@
   void end_item(ItemOutcome outcome, const std::string& request_id);
   void record_attempt(const AttemptTicket& ticket, int forwards, AttemptReply reply);
   void withdraw_attempt(const AttemptTicket& ticket, int forwards);
-  /// Passes a request about a partition on to its owner. @return false if this node is the owner.
+  /// Forwards a request to the owner of its partition. Calls `failed` if the owner is unknown or
+  /// cannot be reached.
+  /// @return false if this node is the owner and must handle the request itself.
   bool forward(int partition, int forwards, const std::function<void(SimNode&)>& send,
                const std::function<void(const Error&)>& failed);
 
@@ -156,7 +159,7 @@
   std::uint64_t next_follow_token_ = 1;
   std::map<std::string, std::deque<std::string>> append_queues_;
   std::set<std::string> appending_;
-  std::map<std::string, std::string> items_in_flight_;  ///< Engine by request id.
+  std::map<std::string, std::string> items_in_flight_;  ///< Engine of each request id.
   std::set<std::string> cancelled_items_;
   std::uint64_t seen_revision_ = 0;
   TimePoint log_answered_{};
--- a/src/simulation/sim_node_batch.cpp
+++ b/src/simulation/sim_node_batch.cpp
@@ -2,7 +2,7 @@
 #include "simulation/sim_node_internal.hpp"
 #include "simulation/world.hpp"
 
-/// The part of a simulated node that sends batch items and serves requests about jobs.
+/// Batch part of `SimNode`: sends items to engines and handles job requests.
 namespace dockpoint::simulation {
 namespace {
 
@@ -67,7 +67,7 @@
 
 void SimNode::end_item(ItemOutcome outcome, const std::string& request_id) {
   if (items_in_flight_.erase(request_id) == 0) {
-    return;  // It ended before: a late answer after the timeout, say.
+    return;  // Already ended, for example by the timeout before a late answer.
   }
   if (cancelled_items_.erase(request_id) > 0 && outcome.end != ItemEnd::kAnswered) {
     outcome.end = ItemEnd::kYielded;
--- a/src/simulation/sim_node_internal.hpp
+++ b/src/simulation/sim_node_internal.hpp
@@ -2,19 +2,19 @@
 
 #include "simulation/sim_node.hpp"
 
-/// What the files that implement `SimNode` share.
+/// Definitions shared by the source files of `SimNode`.
 namespace dockpoint::simulation {
 
 inline constexpr Duration kRetryPause{200'000};
 inline constexpr Duration kConfirmationWait{3'000'000};
 
-/// The answer when no owner of a partition is known.
+/// Error returned if no owner of a partition is known.
 inline Error not_owner() {
   return Error{
       ResultCode::kNotOwner, "no owner is known", {}, RunState::kNotRun, std::chrono::seconds(1)};
 }
 
-/// The answer when the log did not confirm in time.
+/// Error returned if the log did not confirm a record in time.
 inline Error unconfirmed(RunState run) {
   return Error{ResultCode::kPlatformUnavailable,
                "the log did not confirm in time",
--- a/src/simulation/sim_node_log.cpp
+++ b/src/simulation/sim_node_log.cpp
@@ -4,8 +4,7 @@
 #include "simulation/sim_node_internal.hpp"
 #include "simulation/world.hpp"
 
-/// The part of a simulated node that reads and writes the log, as the daemon's followers and log
-/// writer do.
+/// Log part of `SimNode`: reads and writes the log like the daemon's followers and log writer.
 namespace dockpoint::simulation {
 namespace {
 
--- a/src/simulation/sim_node_online.cpp
+++ b/src/simulation/sim_node_online.cpp
@@ -3,7 +3,7 @@
 #include "simulation/sim_node_internal.hpp"
 #include "simulation/world.hpp"
 
-/// The part of a simulated node that serves online requests, as the daemon's HTTP handlers do.
+/// Online part of `SimNode`: handles online requests like the daemon's HTTP handlers.
 namespace dockpoint::simulation {
 
 void SimNode::online(const OnlineSpec& spec, OnlineReply reply) {
@@ -57,7 +57,7 @@
 }
 
 void SimNode::start_attempt(RequestNumber request, const EngineConfig& engine, int) {
-  // The decision logic must not be called back from within its own call.
+  // Runs as a separate event, because the controller must not be re-entered from its own call.
   world_.events().after(Duration{0}, guarded([this, request, engine] {
                           const auto found = calls_.find(request);
                           if (found == calls_.end()) {
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kClientTimeout{8'000'000};
 constexpr int kFirstEnginePort = 9001;
 constexpr int kOnlineResends = 20;
-/// After the deadline a caller closes its connection.
+/// A caller closes its connection this long after the deadline.
 constexpr Duration kCloseDelayAfterDeadline{5'000'000};
 
 std::string zone_name(int index) {
@@ -26,7 +26,7 @@
       network_(events_, combine_hash(seed, 1)),
       log_(events_, combine_hash(seed, 2)) {
   knobs_.mechanisms = mechanisms;
-  knobs_.checkpoint_records = 200;  // Small, so that checkpoints are taken in short runs.
+  knobs_.checkpoint_records = 200;  // Small enough for short runs to write checkpoints.
   for (int index = 0; index < deployment.engines; ++index) {
     SimEngine::Options options;
     options.name = "engine-" + std::to_string(index + 1);
@@ -247,7 +247,7 @@
       return;
     }
     if (error && error->code == ResultCode::kConflict) {
-      return;  // It completed first.
+      return;  // The job completed before the cancellation.
     }
     if (error) {
       retry();
--- a/src/simulation/world.hpp
+++ b/src/simulation/world.hpp
@@ -15,7 +15,7 @@
 
 namespace dockpoint::simulation {
 
-/// Size and shape of a simulated deployment.
+/// Parameters of a simulated deployment.
 struct Deployment {
   int nodes = 3;
   int engines = 4;
@@ -23,11 +23,12 @@
   int slots = 8;
   int partitions = 4;
   int step_us = 8'000;           ///< Base time of a decode step.
-  int list_lag_ms = 2'000;       ///< Age of the machine list.
-  int clock_spread_percent = 0;  ///< Largest difference of a node's clock rate from true time.
+  int list_lag_ms = 2'000;       ///< Delay of the machine list.
+  int clock_spread_percent = 0;  ///< Maximum deviation of a node's clock rate.
 };
 
-/// A whole deployment in simulated time, from one seed.
+/// A complete simulated deployment: nodes, engines, network, log, machine list and callers. All
+/// randomness comes from one seed.
 class World {
  public:
   World(const Deployment& deployment, const Mechanisms& mechanisms, std::uint64_t seed);
@@ -42,7 +43,7 @@
   const Deployment& deployment() const { return deployment_; }
   const Mechanisms& mechanisms() const { return knobs_.mechanisms; }
 
-  /// @return the node, by name or address, or null.
+  /// @return the node or engine with this name or address, or null.
   SimNode* node(const std::string& name);
   SimNode* node_at_peer_address(const std::string& address);
   SimNode* node_at_api_address(const std::string& address);
@@ -51,32 +52,35 @@
   std::map<std::string, std::unique_ptr<SimNode>>& nodes() { return nodes_; }
   std::map<std::string, std::unique_ptr<SimEngine>>& engines() { return engines_; }
 
-  /// @return names of the nodes and engines in a zone, or the one with this name.
+  /// @param target name of a zone, a node or an engine.
+  /// @return names of all nodes and engines in that zone, or the one process with that name.
   std::vector<std::string> processes_in(const std::string& target) const;
 
-  /// @return the machine list as the platform shows it now.
+  /// @return the machine list as currently reported by the platform, including its delay.
   std::vector<MachineEntry> machine_list();
   void set_leaving(const std::string& name, bool leaving);
-  /// Freezes what the list shows, until the next call.
+  /// Starts or ends a period in which the machine list is not updated.
   void set_list_stale(bool stale);
 
-  /// @return a valid configuration document that differs by `tag`.
+  /// @return a valid configuration document that is unique to `tag`.
   std::string document(const std::string& tag) const;
 
   std::uint64_t random() { return random_(); }
 
-  /// Tokens of each item's answer in a file.
+  /// Sets the number of tokens in the answer to each item of a file.
   void set_file_tokens(const std::string& file_id, int tokens) { file_tokens_[file_id] = tokens; }
   int file_tokens(const std::string& file_id) const;
 
-  // What callers do. Each keeps trying, through one node after another, until it is answered.
+  // Callers. Job requests are retried through one node after another until they are answered;
+  // online requests only if `resends` is set, up to a limit.
   void submit_job(const std::string& name, JobSpec job, const std::string& through);
   void cancel_job(const std::string& name, const std::string& through);
   void send_online(const OnlineSpec& spec, const std::string& through, bool resends);
-  /// @param base revision that the change is made from; negative: the node's current one.
+  /// Proposes a configuration change once, without retries.
+  /// @param base revision that the change is based on; if negative, the node's current revision.
   void apply_configuration(const std::string& tag, const std::string& through, std::int64_t base);
 
-  /// Ends all faults and brings every process back.
+  /// Ends all faults and restarts or wakes every process.
   void heal();
 
  private:
