--- a/src/bench/forwarding_bench.cpp
+++ b/src/bench/forwarding_bench.cpp
@@ -18,9 +18,9 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds kReportPause{1500};
+constexpr std::chrono::milliseconds kLoadReportWait{1500};
 
-/// What one way of sending showed.
+/// Measurements of one path, direct or forwarded.
 struct Measurement {
   std::vector<double> first_token_ms;
   std::vector<double> token_gap_ms;
@@ -37,14 +37,14 @@
   return values[std::min(index, values.size() - 1)];
 }
 
-/// An engine keeps the answers of ended requests for a while, so ids must not come back.
-const std::string& unique_run() {
+/// Engines keep the answers of finished requests for a while, so request ids must not be reused.
+const std::string& unique_run_id() {
   static const std::string run =
       "bench-" + std::to_string(SteadyClock::now().time_since_epoch().count());
   return run;
 }
 
-/// Sends one request and adds its times. @return whether the answer was whole.
+/// Sends one request and records its timings. @return true if the answer was complete.
 bool send_one(HttpSessionPool& sessions, const std::string& address,
               const ForwardingOptions& options, int number, Measurement& measured,
               std::mutex& mutex) {
@@ -58,7 +58,7 @@
                  R"("}]})";
   const auto started = SteadyClock::now();
   EngineStream stream(sessions, address);
-  const std::string id = unique_run() + "-" + address + "-" + std::to_string(number);
+  const std::string id = unique_run_id() + "-" + address + "-" + std::to_string(number);
   if (stream.open(request, id) != EngineStream::Status::kOk) {
     return false;
   }
@@ -103,7 +103,7 @@
   measured.failures += failures;
 }
 
-/// Reads the node's CPU time from its metrics.
+/// Reads the node's total CPU seconds from its metrics.
 Result<double> node_cpu_seconds(const std::string& node) {
   constexpr std::string_view kName = "dockpoint_process_cpu_seconds_total ";
   HttpSessionPool sessions(std::chrono::seconds(5));
@@ -120,7 +120,7 @@
       return std::stod(line.substr(kName.size()));
     }
   }
-  return fail(ResultCode::kNotFound, "the node shows no CPU time");
+  return fail(ResultCode::kNotFound, "the metrics of the node contain no CPU time");
 }
 
 void print_row(const char* name, const Measurement& measured) {
@@ -143,8 +143,9 @@
   for (int round = 0; round < options.rounds; ++round) {
     const int first = round * options.requests / options.rounds;
     run_round(options.engine, options, first, direct);
-    // The node learns of the direct requests only by lagging reports, and would make room for them.
-    std::this_thread::sleep_for(kReportPause);
+    // The node learns of direct requests only from delayed load reports. Without this pause it
+    // would still count them against the free slots.
+    std::this_thread::sleep_for(kLoadReportWait);
     BOOST_LEAF_AUTO(before, node_cpu_seconds(options.node));
     run_round(options.node, options, first, forwarded);
     BOOST_LEAF_AUTO(after, node_cpu_seconds(options.node));
--- a/src/simulation/checkers.cpp
+++ b/src/simulation/checkers.cpp
@@ -8,21 +8,24 @@
 namespace dockpoint::simulation {
 namespace {
 
-/// After a confirmed cancel the owner's view, the engines' queues and the network may lag.
+/// Items may still start this long after a confirmed cancellation, because the owner's state, the
+/// engines' queues and the network lag behind it.
 constexpr Duration kCancelBound{3'000'000};
-/// A leave may be told by the lagging list only; then a few seconds pass.
+/// Engines may still receive requests this long after their leave became visible. If only the
+/// machine list shows it, nodes learn of it a few seconds later.
 constexpr Duration kLeaveBound{4'000'000};
-/// An accepted configuration is in force everywhere within this time of the last fault.
+/// All nodes must apply an accepted configuration within this time after the last fault.
 constexpr Duration kConfigurationBound{15'000'000};
-/// A request that is refused is refused at once, or when its deadline passes.
+/// Maximum time to refuse a request that was not executed; a request whose deadline passes is not
+/// counted.
 constexpr Duration kRefusalBound{5'000'000};
-/// Longest first token that batch may bring about while engines have room for online work.
+/// Maximum time to first token under batch load while engines have free capacity for online work.
 constexpr Duration kFirstTokenBound{1'000'000};
 
 using Violations = std::vector<Violation>;
 
-/// @return the folded state of a job on the node that owns it, or null.
-const JobState* owned_state(World& world, const std::string& id) {
+/// @return the state of a job on the node that owns it, or null if no running node owns it.
+const JobState* find_job_on_owner(World& world, const std::string& id) {
   for (const auto& [name, node] : world.nodes()) {
     if (!node->up()) {
       continue;
@@ -36,7 +39,7 @@
   return nullptr;
 }
 
-/// @return how often each subject was started by any engine.
+/// @return the number of starts of each subject over all engines.
 std::map<std::string, int> start_counts(World& world) {
   std::map<std::string, int> counts;
   for (const EngineStart& start : world.history().starts) {
@@ -60,7 +63,7 @@
         continue;
       }
       const ReferenceJob& expected = found->second;
-      const JobState* actual = owned_state(world, id);
+      const JobState* actual = find_job_on_owner(world, id);
       if (actual == nullptr) {
         violations.push_back({"exactly_once", "no node owns accepted job " + name});
         continue;
@@ -80,15 +83,16 @@
   }
 }
 
-/// Every result that the owner's index points to is the reference's, and belongs to its item.
+/// Checks that each result in the owner's index equals the result of the reference model and
+/// answers the prompt of its item.
 void check_results_readable(World& world, const Scenario&, Violations& violations) {
   const Reference reference = build_reference(world);
   for (const auto& [name, job] : world.history().jobs) {
     for (const std::string& id : job.accepted_ids) {
-      const JobState* actual = owned_state(world, id);
+      const JobState* actual = find_job_on_owner(world, id);
       const auto found = reference.jobs.find(id);
       if (actual == nullptr || found == reference.jobs.end()) {
-        continue;  // Reported by exactly_once.
+        continue;  // check_exactly_once reports this.
       }
       const auto& records =
           world.log().records(job_stream(partition_of_job(id, world.deployment().partitions)));
@@ -105,7 +109,7 @@
           break;
         }
         const bool answered = result->result_code == 0;
-        if (answered && result->body != answer_to(item_prompt(job.file_id, item))) {
+        if (answered && result->body != answer_for_prompt(item_prompt(job.file_id, item))) {
           violations.push_back(
               {"results_readable",
                "job " + name + " item " + std::to_string(item) + " has another item's answer"});
@@ -135,8 +139,8 @@
 }
 
 void check_online_before_batch(World& world, const Scenario&, Violations& violations) {
-  // Engines have room for online work, so a late first token means waiting behind batch. Requests
-  // that met a fault are left out: retries take time of their own.
+  // Engines have capacity for online work, so a late first token means that the request waited for
+  // batch work. Requests affected by a fault are skipped, because retries add to their latency.
   for (const auto& [name, request] : world.history().online) {
     const bool met_fault = request.connection_lost || !request.answered;
     if (!met_fault && request.first_token - request.sent > kFirstTokenBound) {
@@ -154,7 +158,7 @@
     if (request.answered && request.answer != request.expected) {
       violations.push_back({"whole_answers", "request " + name + " got another's answer"});
     }
-    if (request.beginnings > 1) {
+    if (request.first_token_count > 1) {
       violations.push_back({"whole_answers", "request " + name + " got two beginnings"});
     }
     const bool ended =
@@ -166,17 +170,18 @@
 }
 
 void check_not_run_is_true(World& world, const Scenario&, Violations& violations) {
-  // Requests that are never resent have a name of their own; any start is theirs.
-  std::map<std::string, int> tries;
+  // A request that is sent only once has a unique subject, so every start of that subject belongs
+  // to it.
+  std::map<std::string, int> send_counts;
   for (const auto& [name, request] : world.history().online) {
-    ++tries[request.key.empty() ? request.name : request.key];
+    ++send_counts[request.key.empty() ? request.name : request.key];
   }
   const std::map<std::string, int> starts = start_counts(world);
   for (const auto& [name, request] : world.history().online) {
     const std::string subject = request.key.empty() ? request.name : request.key;
     const bool refused =
         !request.answered && request.code != ResultCode::kOk && request.run == RunState::kNotRun;
-    if (refused && tries.at(subject) == 1 && starts.contains(subject)) {
+    if (refused && send_counts.at(subject) == 1 && starts.contains(subject)) {
       violations.push_back({"not_run_is_true", "request " + name + " was refused as not run (" +
                                                    std::string(describe(request.code).name) +
                                                    "), but ran"});
@@ -185,21 +190,21 @@
 }
 
 void check_at_most_once(World& world, const Scenario&, Violations& violations) {
-  std::set<std::string> once;
+  std::set<std::string> non_repeatable_requests;
   for (const auto& [name, request] : world.history().online) {
     if (!request.repeatable) {
-      once.insert(request.key.empty() ? request.name : request.key);
+      non_repeatable_requests.insert(request.key.empty() ? request.name : request.key);
     }
   }
-  std::set<std::string> once_jobs;
+  std::set<std::string> non_repeatable_jobs;
   for (const auto& [name, job] : world.history().jobs) {
     if (!job.repeatable) {
-      once_jobs.insert(job.accepted_ids.begin(), job.accepted_ids.end());
+      non_repeatable_jobs.insert(job.accepted_ids.begin(), job.accepted_ids.end());
     }
   }
   for (const auto& [subject, count] : start_counts(world)) {
-    const bool must_not_repeat =
-        once.contains(subject) || once_jobs.contains(subject.substr(0, subject.find('/')));
+    const bool must_not_repeat = non_repeatable_requests.contains(subject) ||
+                                 non_repeatable_jobs.contains(subject.substr(0, subject.find('/')));
     if (must_not_repeat && count > 1) {
       violations.push_back(
           {"at_most_once", subject + " was started " + std::to_string(count) + " times"});
@@ -207,23 +212,23 @@
   }
 }
 
-/// @return when the engine itself or the machine list first told of the leave.
-TimePoint shown_at(World& world, const LeaveObservation& leave) {
+/// @return the time at which the engine's announcement or the machine list first showed the leave.
+TimePoint leave_visible_at(World& world, const LeaveObservation& leave) {
   if (leave.announced) {
     return leave.at;
   }
-  TimePoint shown = leave.at + std::chrono::milliseconds(world.deployment().list_lag_ms);
-  for (const StaleList& stale : world.history().stale_list) {
-    if (stale.from < shown && shown < stale.until) {
-      shown = stale.until;
+  TimePoint visible = leave.at + std::chrono::milliseconds(world.deployment().list_lag_ms);
+  for (const StaleListPeriod& stale : world.history().stale_list_periods) {
+    if (stale.from < visible && visible < stale.until) {
+      visible = stale.until;
     }
   }
-  return shown;
+  return visible;
 }
 
 void check_leaving_gets_nothing(World& world, const Scenario&, Violations& violations) {
   for (const LeaveObservation& leave : world.history().leaves) {
-    const TimePoint bound = shown_at(world, leave) + kLeaveBound;
+    const TimePoint bound = leave_visible_at(world, leave) + kLeaveBound;
     for (const EngineStart& start : world.history().starts) {
       if (start.engine == leave.engine && start.at > bound && start.at < world.history().healed) {
         violations.push_back({"leaving_gets_nothing", leave.engine + " started " + start.subject +
@@ -235,7 +240,7 @@
 }
 
 void check_drain_cuts_nothing(World& world, const Scenario&, Violations& violations) {
-  for (const std::string& name : world.history().cut_by_drain) {
+  for (const std::string& name : world.history().interrupted_by_drain) {
     violations.push_back({"drain_cuts_nothing", "a planned stop cut request " + name});
   }
 }
@@ -243,18 +248,19 @@
 void check_configuration(World& world, const Scenario&, Violations& violations) {
   const Reference reference = build_reference(world);
   std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> newest;
-  for (const RevisionObservation& seen : world.history().revisions) {
-    std::uint64_t& before = newest[{seen.node, seen.run}];
-    if (seen.revision < before) {
-      violations.push_back(
-          {"configuration", seen.node + " went back to revision " + std::to_string(seen.revision)});
+  for (const RevisionObservation& observed : world.history().revisions) {
+    std::uint64_t& before = newest[{observed.node, observed.run}];
+    if (observed.revision < before) {
+      violations.push_back({"configuration", observed.node + " went back to revision " +
+                                                 std::to_string(observed.revision)});
     }
-    before = std::max(before, seen.revision);
-    const bool known = seen.revision >= 1 && seen.revision <= reference.change_ids.size() &&
-                       reference.change_ids[seen.revision - 1] == seen.change_id;
+    before = std::max(before, observed.revision);
+    const bool known = observed.revision >= 1 && observed.revision <= reference.change_ids.size() &&
+                       reference.change_ids[observed.revision - 1] == observed.change_id;
     if (!known) {
-      violations.push_back({"configuration", seen.node + " took " + seen.change_id +
-                                                 " as revision " + std::to_string(seen.revision) +
+      violations.push_back({"configuration", observed.node + " took " + observed.change_id +
+                                                 " as revision " +
+                                                 std::to_string(observed.revision) +
                                                  ", which the reference did not accept"});
     }
   }
@@ -280,28 +286,28 @@
                                                  std::to_string(reference.change_ids.size())});
     }
   }
-  // In force everywhere in time, once nothing hinders it.
-  for (const RevisionObservation& seen : world.history().revisions) {
+  // No node may apply a revision later than kConfigurationBound after the last fault.
+  for (const RevisionObservation& observed : world.history().revisions) {
     const bool late = world.history().healed != TimePoint{} &&
-                      seen.at > world.history().healed + kConfigurationBound;
+                      observed.at > world.history().healed + kConfigurationBound;
     if (late) {
-      violations.push_back({"configuration", seen.node + " took revision " +
-                                                 std::to_string(seen.revision) + " too late"});
+      violations.push_back({"configuration", observed.node + " took revision " +
+                                                 std::to_string(observed.revision) + " too late"});
     }
   }
 }
 
 void check_refused_at_once(World& world, const Scenario&, Violations& violations) {
-  constexpr double kLargestLateShare = 0.05;
-  int gave_up_at_deadline = 0;
+  constexpr double kMaxExpiredShare = 0.05;
+  int expired_count = 0;
   for (const auto& [name, request] : world.history().online) {
-    const bool waited_in_vain =
+    const bool expired_unexecuted =
         request.code == ResultCode::kDeadlineExceeded && request.run == RunState::kNotRun;
-    gave_up_at_deadline += waited_in_vain ? 1 : 0;
+    expired_count += expired_unexecuted ? 1 : 0;
   }
   const auto requests = static_cast<double>(world.history().online.size());
-  if (gave_up_at_deadline > kLargestLateShare * requests) {
-    violations.push_back({"refused_at_once", std::to_string(gave_up_at_deadline) +
+  if (expired_count > kMaxExpiredShare * requests) {
+    violations.push_back({"refused_at_once", std::to_string(expired_count) +
                                                  " requests waited in vain until their deadline"});
   }
   for (const auto& [name, request] : world.history().online) {
@@ -322,7 +328,7 @@
   }
 }
 
-/// Between tenants that ask for the same, nobody waits much longer than another.
+/// Checks that the tenant with the fewest requests gets nearly all of them answered.
 void check_no_starvation(World& world, const Scenario&, Violations& violations) {
   struct Count {
     int sent = 0;
@@ -340,13 +346,14 @@
   if (tenants.size() < 2) {
     return;
   }
-  // The tenant that asks for least is below its share, so nearly all of its requests are answered.
-  constexpr double kLeastShare = 0.9;
-  const Count& modest = lowest_demand->second;
-  if (modest.answered < kLeastShare * modest.sent) {
+  // The tenant with the lowest demand stays below its fair share, so nearly all of its requests
+  // must be answered.
+  constexpr double kMinAnsweredShare = 0.9;
+  const Count& lowest_tenant = lowest_demand->second;
+  if (lowest_tenant.answered < kMinAnsweredShare * lowest_tenant.sent) {
     violations.push_back({"no_starvation", "tenant " + lowest_demand->first + " got " +
-                                               std::to_string(modest.answered) + " of " +
-                                               std::to_string(modest.sent) + " answers"});
+                                               std::to_string(lowest_tenant.answered) + " of " +
+                                               std::to_string(lowest_tenant.sent) + " answers"});
   }
 }
 
@@ -411,7 +418,7 @@
       return false;
     }
     for (const std::string& id : job.accepted_ids) {
-      const JobState* state = owned_state(world, id);
+      const JobState* state = find_job_on_owner(world, id);
       if (state == nullptr || state->in_progress()) {
         return false;
       }
