--- a/apps/dockpoint_bench_main.cpp
+++ b/apps/dockpoint_bench_main.cpp
@@ -1,4 +1,4 @@
-/// `dockpoint-bench`: measures what dockpoint costs.
+/// `dockpoint-bench`: measures the overhead that dockpoint adds.
 
 #include <signal.h>
 
--- a/apps/dockpoint_emulator_main.cpp
+++ b/apps/dockpoint_emulator_main.cpp
@@ -1,4 +1,4 @@
-/// `dockpoint-emulator`: stand-ins for a model engine, the platform's log and its machine list.
+/// `dockpoint-emulator`: emulates a model engine, the platform's log or its machine list.
 
 #include <signal.h>
 
--- a/apps/dockpoint_sim_main.cpp
+++ b/apps/dockpoint_sim_main.cpp
@@ -74,7 +74,7 @@
   return failed == 0 ? kExitOk : kExitFailure;
 }
 
-/// Runs each scenario whole and once without each mechanism that it says it needs.
+/// Runs each scenario with all mechanisms, then once per required mechanism with it disabled.
 int run_pairs(const std::vector<std::string>& paths) {
   int failed = 0;
   for (const std::string& path : paths) {
--- a/src/cli/command_line.hpp
+++ b/src/cli/command_line.hpp
@@ -8,8 +8,8 @@
 
 /// One long option of a program.
 struct CommandOption {
-  std::string name;      ///< Without the dashes.
-  std::string argument;  ///< Name of its argument in the help; empty: takes none.
+  std::string name;      ///< Without the leading dashes.
+  std::string argument;  ///< Placeholder in the help text; empty: no argument.
   std::string help;
   std::function<void(const std::string&)> apply;
 };
@@ -17,11 +17,11 @@
 /// Parses long options with `getopt_long`. Adds `--help` and `--version`, which print and exit
 /// with 0; an unknown option prints a hint and exits with 2.
 /// @param usage first lines of the help.
-/// @return the arguments that are not options, in order.
+/// @return the positional arguments, in order.
 std::vector<std::string> parse_command_line(int argc, char** argv, const std::string& usage,
                                             const std::vector<CommandOption>& options);
 
-/// Reads a whole number or ends the program with a usage error that names the option.
+/// Parses an integer, or exits with a usage error that names the option.
 int parse_option_integer(const std::string& option, const std::string& text, int minimum,
                          int maximum);
 
--- a/src/cli/config_commands.cpp
+++ b/src/cli/config_commands.cpp
@@ -49,7 +49,7 @@
   return out.str();
 }
 
-/// Prints every place in which two documents differ.
+/// Prints every path at which two documents differ.
 void print_differences(const std::string& place, const Poco::Dynamic::Var& theirs,
                        const Poco::Dynamic::Var& ours) {
   if (shown(theirs) == shown(ours)) {
@@ -75,7 +75,8 @@
   }
 }
 
-/// Turns arrays of named entries into objects by name, so that differences show as entries.
+/// Converts arrays of named entries to objects keyed by name, so that each difference is shown
+/// by entry name.
 Poco::Dynamic::Var by_name(const Poco::Dynamic::Var& value) {
   if (value.type() == typeid(Poco::JSON::Array::Ptr)) {
     const auto& array = value.extract<Poco::JSON::Array::Ptr>();
@@ -144,7 +145,7 @@
   return kExitOk;
 }
 
-/// Tells what changed since the revision that a refused change was made from.
+/// Prints the changes since the base revision of a rejected change.
 void explain_conflict(CommandContext& context, const Poco::JSON::Object::Ptr& ours) {
   const auto current = request_or_report(context, "GET", kConfigurationPath);
   if (!current || !current->json->isObject("configuration")) {
--- a/src/cli/job_commands.cpp
+++ b/src/cli/job_commands.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::chrono::milliseconds kPollInterval{500};
 
-/// Counts of one job, as the interface shows them.
+/// Item counts of one job, as the API reports them.
 struct JobProgress {
   std::string id;
   std::string status;
@@ -46,7 +46,7 @@
               progress.status.c_str(), progress.completed, progress.total, progress.failed);
 }
 
-/// A bar on a terminal, a line for each change elsewhere.
+/// Progress output: a bar on a terminal, otherwise one line for each change.
 void show_progress(const JobProgress& progress, const JobProgress& before) {
   constexpr int kWidth = 40;
   if (isatty(STDOUT_FILENO) == 0) {
--- a/src/cli/request_command.cpp
+++ b/src/cli/request_command.cpp
@@ -8,7 +8,7 @@
 #include "dockpoint/core/json_reader.hpp"
 #include "http/online_handler.hpp"
 
-/// `dockpoint request TEXT`: one online request, streamed.
+/// `dockpoint request TEXT`: sends one online request and streams the response.
 namespace dockpoint {
 namespace {
 
@@ -28,7 +28,7 @@
   return to_json(body);
 }
 
-/// Prints what one event adds to the answer. @return false if the event is an error.
+/// Prints the text that one event adds to the response. @return false if the event is an error.
 bool print_event(const std::string& data) {
   bool good = false;
   error_of([&]() -> Result<void> {
--- a/src/cli/signals.hpp
+++ b/src/cli/signals.hpp
@@ -4,8 +4,8 @@
 
 namespace dockpoint {
 
-/// Blocks SIGTERM and SIGINT, so that every thread started later inherits it and one can wait for
-/// them, and ignores SIGPIPE. @return the two signals.
+/// Blocks SIGTERM and SIGINT in this thread and in all threads started later, so that one thread
+/// can wait for them, and ignores SIGPIPE. @return the two blocked signals.
 inline sigset_t block_end_signals() {
   sigset_t signals;
   sigemptyset(&signals);
--- a/src/emulator/engine_model.cpp
+++ b/src/emulator/engine_model.cpp
@@ -104,7 +104,7 @@
   if (newest == running_.end() || !newest->request.batch) {
     return false;
   }
-  // Its KV cache is dropped; what it produced stays and is prefilled again on resumption.
+  // Preemption drops the KV cache; the tokens produced are kept and prefilled again on resumption.
   Sequence preempted = std::move(*newest);
   running_.erase(newest);
   waiting_.push_back(std::move(preempted));
--- a/src/emulator/engine_model.hpp
+++ b/src/emulator/engine_model.hpp
@@ -13,59 +13,59 @@
 
 namespace dockpoint::emulator {
 
-/// Speed and size of an emulated engine; docs/EMULATOR.md gives the timing formula.
+/// Speed and capacity of an emulated engine; docs/EMULATOR.md gives the timing formula.
 struct EngineParameters {
-  int slots = 16;                   ///< Sequences decoded at once.
-  int waiting_limit = 256;          ///< Then requests are refused as not run.
-  Duration step_base{8'000};        ///< Cost of one step.
-  Duration step_per_sequence{300};  ///< Added for each decoding sequence.
+  int slots = 16;                   ///< Sequences decoded concurrently.
+  int waiting_limit = 256;          ///< Further requests are refused as not executed.
+  Duration step_base{8'000};        ///< Base duration of a step.
+  Duration step_per_sequence{300};  ///< Added per decoding sequence.
   double prefill_tokens_per_second = 20'000;
   int prefill_tokens_per_step = 2'048;  ///< Longer prompts take several steps.
   std::size_t cache_blocks = 4'096;     ///< Prefix cache, in blocks.
-  std::size_t block_bytes = 64;         ///< Prompt text in one block.
+  std::size_t block_bytes = 64;         ///< Prompt bytes per block.
 };
 
-/// A sequence as submitted.
+/// A sequence to submit to the engine.
 struct SequenceRequest {
   std::string id;
   std::string prompt;
   int answer_tokens = 1;
-  bool batch = false;  ///< Batch gives way to online.
-  int priority = 0;    ///< Among its own class; higher goes first.
+  bool batch = false;  ///< Preempted by online sequences.
+  int priority = 0;    ///< Within its class; higher is served first.
 };
 
-/// One token, or the end of a sequence.
+/// One generated token; `last` marks the end of the sequence.
 struct TokenEvent {
   std::string sequence;
   int index = 0;
   bool last = false;
 };
 
-/// A change of the prefix cache.
+/// A block added to or evicted from the prefix cache.
 struct CacheEvent {
   std::uint64_t number = 0;
-  std::uint64_t block = 0;  ///< Hash of the block and all before it.
+  std::uint64_t block = 0;  ///< Hash of the block and its whole prefix.
   bool evicted = false;
 };
 
-/// What one step did.
+/// Result of one step.
 struct StepResult {
-  Duration duration{};  ///< Until the tokens come out; zero if there was nothing to do.
+  Duration duration{};  ///< Time until the tokens are output; zero if idle.
   std::vector<TokenEvent> tokens;
 };
 
 /// Continuous batching with prefill and decode cost, two priority classes with preemption, and a
-/// prefix cache of bounded memory. Pure: the caller supplies time by waiting out each step.
+/// prefix cache of bounded size. Reads no clock: the caller waits for the duration of each step.
 /// Not thread-safe.
 class EngineModel {
  public:
   explicit EngineModel(EngineParameters parameters) : parameters_(parameters) {}
 
-  /// @return false if the engine refuses, which means that the sequence does not run.
+  /// @return false if the engine refuses the sequence; it is then not executed.
   bool submit(SequenceRequest request);
 
-  /// Ends a sequence; it gives no more tokens.
-  /// @return whether it was there.
+  /// Cancels a sequence; it produces no more tokens.
+  /// @return whether the sequence existed.
   bool cancel(const std::string& id);
 
   /// Runs one step: admits, preempts, prefills and decodes.
@@ -73,10 +73,10 @@
 
   bool idle() const { return running_.empty() && waiting_.empty(); }
 
-  /// @return counts of the load; the caller sets the rest.
+  /// @return the load with its counts filled in; the caller sets the other fields.
   EngineLoad load() const;
 
-  /// @return cache events from `number` on.
+  /// @return the cache events with numbers from `number` on.
   std::vector<CacheEvent> cache_events(std::uint64_t number) const;
 
   std::uint64_t cache_hit_blocks() const { return cache_hit_blocks_; }
@@ -87,7 +87,7 @@
   struct Sequence {
     SequenceRequest request;
     std::uint64_t arrival = 0;
-    int prefill_left = -1;  ///< Tokens; -1: not admitted yet.
+    int prefill_left = -1;  ///< Tokens left to prefill; -1: not admitted yet.
     int produced = 0;
   };
 
@@ -112,7 +112,7 @@
 };
 
 /// @return the text of token `index` of the answer to `prompt`. The answer depends on the prompt
-/// alone, so whoever knows the prompt can check the whole answer.
+/// alone, so a test that knows the prompt can verify the whole answer.
 std::string token_text(const std::string& prompt, int index);
 
 /// @return the number of tokens of the answer to `prompt` when the caller sets no limit.
--- a/src/emulator/engine_server.cpp
+++ b/src/emulator/engine_server.cpp
@@ -20,7 +20,7 @@
 constexpr std::chrono::milliseconds kLoadInterval{50};
 constexpr std::chrono::milliseconds kIdleWait{20};
 
-/// Of a process that a request has ended.
+/// Exit status of the process after a crash triggered by a request.
 constexpr int kCrashExitCode = 70;
 
 std::uint64_t unix_microseconds() {
@@ -296,7 +296,7 @@
       continue;
     }
     const StepResult step = model_.step();
-    // Steps follow one another without gaps, whatever the sleep's precision.
+    // Each step starts at the scheduled end of the last, so sleep inaccuracy does not accumulate.
     step_started = std::max(step_started, SteadyClock::now() - std::chrono::milliseconds(50));
     step_started += step.duration;
     lock.unlock();
--- a/src/emulator/engine_server.hpp
+++ b/src/emulator/engine_server.hpp
@@ -20,12 +20,13 @@
   std::string name;
   EngineParameters parameters;
   std::chrono::milliseconds report_lag{200};        ///< Age of the load that `/load` reports.
-  std::chrono::milliseconds resume_window{10'000};  ///< An unread stream is kept for so long.
-  std::string crash_on;  ///< A prompt that holds this text ends the process; empty: none does.
+  std::chrono::milliseconds resume_window{10'000};  ///< Time that an unread stream is kept.
+  std::string crash_on;  ///< Prompts with this text crash the process; empty: off.
 };
 
-/// Stand-in for a model engine: the OpenAI-compatible completion paths, `/load`, `/cache-events`,
-/// `/cancel` and `/admin/*`. One thread runs the model in real time; each connection has its own.
+/// Emulates a model engine: the OpenAI-compatible completion paths, `/load`, `/cache-events`,
+/// `/cancel` and `/admin/*`. One thread runs the model in real time; each connection has its own
+/// thread.
 class EngineServer {
  public:
   explicit EngineServer(EngineServerOptions options);
@@ -35,13 +36,13 @@
   void stop();
 
  private:
-  /// A sequence as its reader sees it.
+  /// The state of a sequence that its reader needs.
   struct Stream {
     std::string id;
     std::string prompt;
     int answer_tokens = 0;
     int produced = 0;
-    bool finished = false;  ///< All tokens are there.
+    bool finished = false;  ///< All tokens are produced.
     bool cancelled = false;
     bool being_read = false;
     std::chrono::steady_clock::time_point unread_since;
@@ -51,7 +52,7 @@
     std::chrono::steady_clock::time_point at;
     EngineLoad load;
   };
-  /// How often one request was started and completed, for tests of at-most-once.
+  /// Counts of starts and completions of one request, for tests of at-most-once execution.
   struct Executions {
     int started = 0;
     int completed = 0;
@@ -66,7 +67,7 @@
                     Poco::Net::HTTPServerResponse& response);
   void write_whole(Stream& stream, const CompletionRequest& completion,
                    Poco::Net::HTTPServerResponse& response);
-  /// Ends the process, as a crash does, if the prompt asks for it.
+  /// Exits the process without cleanup if the prompt contains `crash_on`.
   void crash_if_asked(const std::string& prompt) const;
   /// Waits for token `index`. @return false if the stream was cancelled.
   bool wait_for_token(Stream& stream, int index);
--- a/src/emulator/fault_switches.hpp
+++ b/src/emulator/fault_switches.hpp
@@ -9,13 +9,13 @@
 
 namespace dockpoint::emulator {
 
-/// Named numbers that switch faults on and off while an emulator runs: `POST /admin/faults` with
-/// an object from name to whole number. 0 means off. Thread-safe.
+/// Named integers that control fault injection in a running emulator: `POST /admin/faults` with
+/// an object that maps names to integers. 0 disables a fault. Thread-safe.
 class FaultSwitches {
  public:
   explicit FaultSwitches(const std::vector<std::string>& names);
 
-  /// Takes a JSON object; refuses unknown names.
+  /// Applies a JSON object; rejects unknown names.
   Result<void> update(const std::string& json);
 
   int value(const std::string& name) const;
--- a/src/emulator/log_server.hpp
+++ b/src/emulator/log_server.hpp
@@ -6,8 +6,8 @@
 
 namespace dockpoint::emulator {
 
-/// Stand-in for the platform's log service. Faults: `down` (1: refuse everything), `slow_ms`
-/// (added to every answer), `lose_answer_percent` (append, then break the connection).
+/// Emulates the platform's log service. Faults: `down` (1: refuse everything), `slow_ms`
+/// (delay added to every response), `lose_answer_percent` (append, then break the connection).
 class LogServer {
  public:
   explicit LogServer(const std::string& address);
--- a/src/emulator/log_store.hpp
+++ b/src/emulator/log_store.hpp
@@ -12,13 +12,13 @@
 
 namespace dockpoint::emulator {
 
-/// The records of all streams, in memory. Thread-safe.
+/// Holds the records of all streams in memory. Thread-safe.
 class LogStore {
  public:
   /// @return the offset of the first record.
   std::uint64_t append(const std::string& stream, const std::vector<std::string>& records);
 
-  /// Reads up to `limit` records and about 8 MiB; waits up to `wait` for the first.
+  /// Reads up to `limit` records and about 8 MiB; waits up to `wait` for the first one.
   LogPage read(const std::string& stream, std::uint64_t from, std::size_t limit,
                std::chrono::milliseconds wait);
 
--- a/src/emulator/machine_list_server.hpp
+++ b/src/emulator/machine_list_server.hpp
@@ -9,8 +9,8 @@
 
 namespace dockpoint::emulator {
 
-/// Stand-in for the platform's list of live and leaving machines. `GET /machines` answers the list
-/// as it was `lag` ago; `POST /admin/machines` replaces it.
+/// Emulates the platform's list of live and leaving machines. `GET /machines` returns the list as
+/// of `lag` ago; `POST /admin/machines` replaces it.
 class MachineListServer {
  public:
   MachineListServer(const std::string& address, std::chrono::milliseconds lag);
--- a/src/emulator/memory_log.cpp
+++ b/src/emulator/memory_log.cpp
@@ -6,13 +6,13 @@
 namespace dockpoint {
 namespace {
 
-/// Time of an answer.
+/// Response latency.
 constexpr Duration kLatency = std::chrono::milliseconds(4);
-/// Time after which a caller gives an answer up.
+/// Time after which a caller stops waiting for a response.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(1500);
-/// Records in one page.
+/// Maximum number of records per page.
 constexpr std::size_t kPageRecords = 50;
-/// Answers that are given again when an append is repeated.
+/// Number of recent append outcomes kept per producer to answer repeated appends.
 constexpr std::size_t kRecentAnswers = 5;
 
 }  // namespace
@@ -229,7 +229,7 @@
 
 void MemoryLog::expire(TimePoint now) {
   if (faults.down || faults.silent) {
-    return;  // Leases wait while the service is away.
+    return;  // Leases do not expire while the service is down.
   }
   for (auto& [name, group] : groups_) {
     bool changed = false;
--- a/src/emulator/memory_log.hpp
+++ b/src/emulator/memory_log.hpp
@@ -10,37 +10,37 @@
 
 #include "dockpoint/log/partitioned_log.hpp"
 
-/// A stand-in of the service that holds the log, in memory and in simulated time.
+/// An in-memory emulation of the log service in simulated time.
 ///
-/// It keeps the promises of `PartitionedLog` and can fail in every way that they allow: refuse
-/// calls, lose answers, do appends late, forget history, deal partitions anew.
+/// It honours the contract of `PartitionedLog` and can fail in every way that the contract allows:
+/// refuse calls, lose responses, delay appends, discard history, reassign partitions.
 namespace dockpoint {
 
-/// How a stand-in log fails from now on.
+/// Faults that a `MemoryLog` injects into subsequent calls.
 struct MemoryLogFaults {
   bool down = false;         ///< Every call is refused.
-  bool silent = false;       ///< No call is answered or done, nor is a read that waits meanwhile,
-                             ///< also after the end of the silence: its connection is dead.
-  double lose_answers = 0;   ///< Share of appends that are done and not answered.
-  double delay_appends = 0;  ///< Share of appends without an answer that are done later.
+  bool silent = false;       ///< No call is executed or answered. Reads that wait meanwhile stay
+                             ///< unanswered afterwards too: their connection is dead.
+  double lose_answers = 0;   ///< Share of appends that are applied but not answered.
+  double delay_appends = 0;  ///< Share of unanswered appends that are applied later.
   Duration longest_delay = std::chrono::seconds(4);
 
-  /// @return whether nothing fails.
+  /// @return whether no fault is active.
   bool calm() const { return !down && !silent && lose_answers == 0 && delay_appends == 0; }
 };
 
-/// See the top of this file. Time passes only in `advance`. Not thread-safe.
+/// See the top of this file. Time advances only in `advance`. Not thread-safe.
 class MemoryLog : public PartitionedLog {
  public:
   MemoryLog(const LogLimits& limits, std::uint64_t seed);
 
   MemoryLogFaults faults;
 
-  /// Lets time pass: answers come, leases run out, late appends are done.
+  /// Advances time: delivers due responses, expires leases and applies delayed appends.
   void advance(TimePoint now);
-  /// Forgets all history; the newest record of each key stays.
+  /// Discards all history except the newest record of each key.
   void forget_history();
-  /// Deals the partitions of all groups anew.
+  /// Reassigns the partitions of all groups.
   void rebalance();
 
   const LogLimits& limits() const override { return limits_; }
@@ -63,7 +63,7 @@
 
   /// @return every record ever appended to a partition, for checks.
   const std::vector<KeyedRecord>& history(const TopicPartition& partition);
-  /// @return calls to `read` so far.
+  /// @return the number of calls to `read` so far.
   std::size_t reads() const { return reads_; }
 
  private:
@@ -71,22 +71,22 @@
     std::uint64_t epoch = 0;
     bool seen = false;
     std::uint64_t next_sequence = 0;
-    std::deque<std::pair<std::uint64_t, AppendOutcome>> recent;  ///< Answers of the last appends.
+    std::deque<std::pair<std::uint64_t, AppendOutcome>> recent;  ///< Outcomes of the last appends.
   };
   struct Partition {
-    std::vector<KeyedRecord> records;  ///< All; the index is the offset.
+    std::vector<KeyedRecord> records;  ///< All records; the index is the offset.
     LogOffset first_kept = 0;
     std::map<std::string, KeyedRecord> newest;
     std::map<std::string, Producer> producers;
   };
   struct GroupPartition {
     std::string owner;
-    std::string heir;              ///< Gets it once the owner releases it.
-    std::uint64_t generation = 0;  ///< In which it was last dealt.
+    std::string heir;              ///< Becomes the owner on release.
+    std::uint64_t generation = 0;  ///< Generation of the last assignment.
   };
   struct Group {
     std::uint64_t generation = 0;
-    std::map<std::string, TimePoint> members;  ///< With the end of the lease.
+    std::map<std::string, TimePoint> members;  ///< Member to end of its lease.
     std::map<TopicPartition, GroupPartition> partitions;
   };
   struct Event {
@@ -97,12 +97,12 @@
     TopicPartition partition;
     LogOffset from = 0;
     TimePoint deadline{};
-    Duration limit{};  ///< After the deadline the caller gives the read up.
+    Duration limit{};  ///< Time after the deadline until the caller gives up.
     std::function<void(ReadOutcome)> done;
-    bool dead = false;  ///< Nothing comes on its connection any more.
+    bool dead = false;  ///< The connection delivers nothing any more.
   };
 
-  /// What an append asks of its partition.
+  /// Preconditions of an append to a partition.
   struct AppendCondition {
     std::optional<ProducerPosition> position;
     std::optional<LogOffset> end;
@@ -110,7 +110,7 @@
 
   AppendOutcome apply(const TopicPartition& partition, const std::vector<KeyedRecord>& records,
                       const AppendCondition& condition);
-  /// Appends now, late or not at all, as the faults say.
+  /// Appends immediately, late or not at all, according to `faults`.
   void append_with_faults(const TopicPartition& partition, const std::vector<KeyedRecord>& records,
                           const AppendCondition& condition,
                           std::function<void(AppendOutcome)> done);
--- a/tests/emulator/engine_model_test.cpp
+++ b/tests/emulator/engine_model_test.cpp
@@ -24,7 +24,7 @@
 
 using Produced = std::map<std::string, int>;
 
-/// Runs one step, counts its tokens and checks that they come in order.
+/// Runs one step, counts its tokens and checks that their indexes are in order.
 void step(EngineModel& model, Produced& produced) {
   for (const TokenEvent& token : model.step().tokens) {
     BOOST_TEST(token.index == produced[token.sequence]);
