--- a/src/emulator/engine_server.cpp
+++ b/src/emulator/engine_server.cpp
@@ -146,10 +146,10 @@
                         RunState::kNotRun,
                         std::chrono::seconds(1)});
     }
-    crash_if_asked(completion.prompt);
+    crash_if_requested(completion.prompt);
     const bool crossed = faults_.value("cross_answers") != 0;
     response.set("x-request-id", crossed ? id + "-of-another" : id);
-    const EngineLoad load = lagging_load();
+    const EngineLoad load = delayed_load();
     response.set("x-engine-load", std::to_string(load.running_online) + "," +
                                       std::to_string(load.running_batch) + "," +
                                       std::to_string(load.waiting_online) + "," +
@@ -166,7 +166,7 @@
   }
 }
 
-void EngineServer::crash_if_asked(const std::string& prompt) const {
+void EngineServer::crash_if_requested(const std::string& prompt) const {
   if (!options_.crash_on.empty() && prompt.find(options_.crash_on) != std::string::npos) {
     std::_Exit(kCrashExitCode);
   }
@@ -223,7 +223,7 @@
     const int cut_after = faults_.value("cut_stream_after_tokens");
     const bool cut = cut_after > 0 && from == 0 && index >= cut_after;
     if (cut || !wait_for_token(stream, index)) {
-      leave_stream(stream);
+      release_stream(stream);
       throw Poco::IOException("stream cut");
     }
     const bool last = index + 1 == stream.answer_tokens;
@@ -231,18 +231,18 @@
         completion_json(completion, stream.id, token_text(stream.prompt, index), true, last);
     out << "data: " << to_json(chunk) << "\n\n" << std::flush;
     if (!out.good()) {
-      leave_stream(stream);
+      release_stream(stream);
       return;
     }
   }
   out << "data: [DONE]\n\n" << std::flush;
-  leave_stream(stream);
+  release_stream(stream);
 }
 
 void EngineServer::write_whole(Stream& stream, const CompletionRequest& completion,
                                Poco::Net::HTTPServerResponse& response) {
   if (!wait_for_token(stream, stream.answer_tokens - 1)) {
-    leave_stream(stream);
+    release_stream(stream);
     send_error(
         response,
         Error{ResultCode::kEngineRefused, "the request was cancelled", {}, RunState::kUnknown, {}});
@@ -259,11 +259,11 @@
   usage->set("completion_tokens", stream.answer_tokens);
   usage->set("total_tokens", prompt_tokens + stream.answer_tokens);
   body.set("usage", usage);
-  leave_stream(stream);
+  release_stream(stream);
   send_json(response, 200, to_json(body));
 }
 
-void EngineServer::leave_stream(Stream& stream) {
+void EngineServer::release_stream(Stream& stream) {
   const std::lock_guard<std::mutex> lock(mutex_);
   stream.being_read = false;
   stream.unread_since = SteadyClock::now();
@@ -344,13 +344,13 @@
   }
 }
 
-EngineLoad EngineServer::lagging_load() {
+EngineLoad EngineServer::delayed_load() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return loads_.empty() ? EngineLoad{} : loads_.front().load;
 }
 
 std::string EngineServer::load_json() {
-  const EngineLoad load = lagging_load();
+  const EngineLoad load = delayed_load();
   Poco::JSON::Object body;
   body.set("incarnation", load.incarnation);
   body.set("sequence", load.sequence);
--- a/src/emulator/engine_server.hpp
+++ b/src/emulator/engine_server.hpp
@@ -68,16 +68,16 @@
   void write_whole(Stream& stream, const CompletionRequest& completion,
                    Poco::Net::HTTPServerResponse& response);
   /// Exits the process without cleanup if the prompt contains `crash_on`.
-  void crash_if_asked(const std::string& prompt) const;
+  void crash_if_requested(const std::string& prompt) const;
   /// Waits for token `index`. @return false if the stream was cancelled.
   bool wait_for_token(Stream& stream, int index);
-  void leave_stream(Stream& stream);
+  void release_stream(Stream& stream);
   void cancel(const std::string& id);
   void run_model();
   void deliver(const StepResult& step);
   void drop_unread_streams();
   void record_load();
-  EngineLoad lagging_load();
+  EngineLoad delayed_load();
   std::string load_json();
   std::string cache_events_json(const std::string& uri);
   std::string executions_json();
--- a/src/emulator/memory_log.cpp
+++ b/src/emulator/memory_log.cpp
@@ -26,7 +26,7 @@
 
 void MemoryLog::advance(TimePoint now) {
   now_ = now;
-  expire(now);
+  expire_leases(now);
   std::deque<Event> due;
   std::deque<Event> later;
   for (Event& event : std::exchange(events_, {})) {
@@ -39,8 +39,8 @@
   for (WaitingRead& read : std::exchange(waiting_, {})) {
     ReadOutcome outcome = read_now(read.partition, read.from);
     const bool ready = !outcome.records.empty() || outcome.status != LogStatus::kOk;
-    read.dead = read.dead || faults.silent;
-    if (read.dead || faults.down) {
+    read.disconnected = read.disconnected || faults.silent;
+    if (read.disconnected || faults.down) {
       if (now >= read.deadline + read.limit) {
         read.done({LogStatus::kUnknown, {}, 0});
       } else {
@@ -192,7 +192,7 @@
   answer([done = std::move(done), outcome = std::move(outcome)] { done(outcome); });
 }
 
-void MemoryLog::deal(Group& group, const std::vector<std::string>& topics) {
+void MemoryLog::assign_partitions(Group& group, const std::vector<std::string>& topics) {
   ++group.generation;
   for (const std::string& topic : topics) {
     for (int number = 0; number < limits_.partitions; ++number) {
@@ -214,20 +214,22 @@
       partition.owner = next;
       partition.generation = group.generation;
     }
-    partition.heir = next == partition.owner ? std::string() : next;
+    partition.next_owner = next == partition.owner ? std::string() : next;
   }
 }
 
-void MemoryLog::release(Group& group, const std::string& member, std::uint64_t generation) {
+void MemoryLog::release_partitions(Group& group, const std::string& member,
+                                   std::uint64_t generation) {
   for (auto& [id, partition] : group.partitions) {
-    if (partition.owner == member && !partition.heir.empty() && generation >= group.generation) {
-      partition.owner = std::exchange(partition.heir, {});
+    if (partition.owner == member && !partition.next_owner.empty() &&
+        generation >= group.generation) {
+      partition.owner = std::exchange(partition.next_owner, {});
       ++group.generation;
     }
   }
 }
 
-void MemoryLog::expire(TimePoint now) {
+void MemoryLog::expire_leases(TimePoint now) {
   if (faults.down || faults.silent) {
     return;  // Leases do not expire while the service is down.
   }
@@ -247,7 +249,7 @@
       changed = true;
     }
     if (changed) {
-      deal(group, {});
+      assign_partitions(group, {});
     }
   }
 }
@@ -265,7 +267,7 @@
     std::size_t index = 0;
     for (auto& [id, partition] : group.partitions) {
       partition.owner = owners[index++];
-      partition.heir.clear();
+      partition.next_owner.clear();
     }
     ++group.generation;
   }
@@ -284,12 +286,12 @@
   const bool added = !group.members.contains(member);
   group.members[member] = now_ + lease;
   if (added) {
-    deal(group, topics);
+    assign_partitions(group, topics);
   }
-  release(group, member, generation);
+  release_partitions(group, member, generation);
   JoinOutcome outcome{LogStatus::kOk, group.generation, {}};
   for (const auto& [id, partition] : group.partitions) {
-    if (partition.owner == member && partition.heir.empty()) {
+    if (partition.owner == member && partition.next_owner.empty()) {
       outcome.partitions.push_back(id);
     }
   }
@@ -306,7 +308,7 @@
         partition.owner.clear();
       }
     }
-    deal(group, {});
+    assign_partitions(group, {});
   }
   answer([done = std::move(done)] { done(LogStatus::kOk); });
 }
--- a/src/emulator/memory_log.hpp
+++ b/src/emulator/memory_log.hpp
@@ -81,7 +81,7 @@
   };
   struct GroupPartition {
     std::string owner;
-    std::string heir;              ///< Becomes the owner on release.
+    std::string next_owner;        ///< Becomes the owner on release.
     std::uint64_t generation = 0;  ///< Generation of the last assignment.
   };
   struct Group {
@@ -99,7 +99,7 @@
     TimePoint deadline{};
     Duration limit{};  ///< Time after the deadline until the caller gives up.
     std::function<void(ReadOutcome)> done;
-    bool dead = false;  ///< The connection delivers nothing any more.
+    bool disconnected = false;  ///< The connection delivers nothing any more.
   };
 
   /// Preconditions of an append to a partition.
@@ -116,9 +116,9 @@
                           std::function<void(AppendOutcome)> done);
   ReadOutcome read_now(const TopicPartition& partition, LogOffset from);
   void answer(std::function<void()> run);
-  void deal(Group& group, const std::vector<std::string>& topics);
-  void expire(TimePoint now);
-  void release(Group& group, const std::string& member, std::uint64_t generation);
+  void assign_partitions(Group& group, const std::vector<std::string>& topics);
+  void expire_leases(TimePoint now);
+  void release_partitions(Group& group, const std::string& member, std::uint64_t generation);
 
   const LogLimits limits_;
   std::mt19937_64 random_;
--- a/tests/emulator/engine_model_test.cpp
+++ b/tests/emulator/engine_model_test.cpp
@@ -42,7 +42,7 @@
 
 BOOST_AUTO_TEST_SUITE(engine_model)
 
-BOOST_AUTO_TEST_CASE(every_sequence_gets_all_its_tokens_in_order) {
+BOOST_AUTO_TEST_CASE(every_sequence_receives_all_tokens_in_order) {
   EngineModel model(small());
   for (const char* id : {"a", "b", "c", "d"}) {
     BOOST_TEST(model.submit(sequence(id, 5)));
@@ -54,7 +54,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(online_preempts_batch_which_resumes_where_it_was) {
+BOOST_AUTO_TEST_CASE(preempted_batch_sequence_resumes_without_losing_tokens) {
   EngineModel model(small());
   model.submit(sequence("batch-1", 10, true));
   model.submit(sequence("batch-2", 10, true));
@@ -71,7 +71,7 @@
   BOOST_TEST(produced.at("batch-2") == 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_full_engine_refuses) {
+BOOST_AUTO_TEST_CASE(full_engine_refuses_sequences) {
   EngineModel model(small());
   for (int index = 0; index < 4; ++index) {
     BOOST_TEST(model.submit(sequence(std::to_string(index), 1)));
@@ -79,7 +79,7 @@
   BOOST_TEST(!model.submit(sequence("too-much", 1)));
 }
 
-BOOST_AUTO_TEST_CASE(a_cached_prefix_makes_prefill_shorter_and_memory_is_bounded) {
+BOOST_AUTO_TEST_CASE(cached_prefix_shortens_prefill_and_cache_size_is_bounded) {
   EngineParameters parameters = small();
   parameters.prefill_tokens_per_second = 100;
   EngineModel model(parameters);
@@ -101,7 +101,7 @@
   BOOST_TEST(cached == 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_cancelled_sequence_gives_no_more_tokens) {
+BOOST_AUTO_TEST_CASE(cancelled_sequence_produces_no_more_tokens) {
   EngineModel model(small());
   model.submit(sequence("a", 100));
   model.step();
@@ -110,7 +110,7 @@
   BOOST_TEST(model.idle());
 }
 
-BOOST_AUTO_TEST_CASE(the_log_store_keeps_order_and_pages) {
+BOOST_AUTO_TEST_CASE(log_store_keeps_order_and_pages) {
   LogStore store;
   BOOST_TEST(store.append("s", {"a", "b"}) == 0U);
   BOOST_TEST(store.append("s", {"c"}) == 2U);
