--- a/src/cli/api_client.cpp
+++ b/src/cli/api_client.cpp
@@ -27,7 +27,7 @@
   return answer;
 }
 
-/// @return the delay before a retry, or zero if the request must not be retried.
+/// @return the delay before a retry, or zero if the request should not be retried.
 std::chrono::seconds retry_delay(const ApiClient::Answer& answer) {
   Problems problems;
   ObjectReader error = ObjectReader(answer.json, "", problems).object("error");
--- a/src/cli/config_commands.cpp
+++ b/src/cli/config_commands.cpp
@@ -145,7 +145,7 @@
   return kExitOk;
 }
 
-/// Prints the changes since the base revision of a rejected change.
+/// Prints the differences between the active configuration and a rejected change.
 void explain_conflict(CommandContext& context, const Poco::JSON::Object::Ptr& ours) {
   const auto current = request_or_report(context, "GET", kConfigurationPath);
   if (!current || !current->json->isObject("configuration")) {
--- a/src/emulator/engine_server.cpp
+++ b/src/emulator/engine_server.cpp
@@ -296,7 +296,8 @@
       continue;
     }
     const StepResult step = model_.step();
-    // Each step starts at the scheduled end of the last, so sleep inaccuracy does not accumulate.
+    // Each step starts at the scheduled end of the last one, at most 50 ms late, so that sleep
+    // inaccuracy does not accumulate.
     step_started = std::max(step_started, SteadyClock::now() - std::chrono::milliseconds(50));
     step_started += step.duration;
     lock.unlock();
--- a/tests/emulator/engine_model_test.cpp
+++ b/tests/emulator/engine_model_test.cpp
@@ -54,7 +54,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(preempted_batch_sequence_resumes_without_losing_tokens) {
+BOOST_AUTO_TEST_CASE(online_preempts_batch_which_resumes_without_losing_tokens) {
   EngineModel model(small());
   model.submit(sequence("batch-1", 10, true));
   model.submit(sequence("batch-2", 10, true));
