--- a/apps/dockpoint_bench_main.cpp
+++ b/apps/dockpoint_bench_main.cpp
@@ -41,12 +41,12 @@
       {"tokens", "N", "Tokens of each answer (32).", integer("tokens", 100'000, options.tokens)},
       {"rounds", "N", "Turns that the ways take (4).", integer("rounds", 1000, options.rounds)},
   };
-  const std::vector<std::string> words = parse_command_line(argc, argv, kUsage, table);
-  if (words.size() == 1 && words.front() == "recovery") {
+  const std::vector<std::string> arguments = parse_command_line(argc, argv, kUsage, table);
+  if (arguments.size() == 1 && arguments.front() == "recovery") {
     bench::run_recovery_bench({50'000, 100'000, 200'000, 450'000});
     return kExitOk;
   }
-  if (words.size() != 1 || words.front() != "forwarding") {
+  if (arguments.size() != 1 || arguments.front() != "forwarding") {
     usage_error("forwarding or recovery is expected; see --help");
   }
   if (options.engine.empty() || options.node.empty() || options.model.empty()) {
--- a/apps/dockpoint_emulator_main.cpp
+++ b/apps/dockpoint_emulator_main.cpp
@@ -71,7 +71,7 @@
   if (arguments.size() != 1 || !Address::parse(engine.address)) {
     usage_error("one of engine, log, machines and --listen IP:PORT are required");
   }
-  const sigset_t signals = block_end_signals();
+  const sigset_t signals = block_termination_signals();
   try {
     if (arguments[0] == "engine") {
       emulator::EngineServer server(engine);
--- a/apps/dockpoint_main.cpp
+++ b/apps/dockpoint_main.cpp
@@ -80,28 +80,28 @@
          options.maximum_tokens = parse_option_integer("max-tokens", value, 1, 131'072);
        }},
   };
-  std::vector<std::string> words = parse_command_line(argc, argv, kUsage, table);
-  if (words.empty()) {
+  std::vector<std::string> arguments = parse_command_line(argc, argv, kUsage, table);
+  if (arguments.empty()) {
     usage_error("a command is required; see --help");
   }
   ApiClient client(options.node, options.tenant);
-  const std::string object = words.front();
+  const std::string object = arguments.front();
   if (object == "request") {
-    CommandContext context{options, {words.begin() + 1, words.end()}, client};
+    CommandContext context{options, {arguments.begin() + 1, arguments.end()}, client};
     return run_request_command(context);
   }
-  if (words.size() < 2) {
+  if (arguments.size() < 2) {
     usage_error("\"" + object + "\" needs an action; see --help");
   }
-  CommandContext context{options, {words.begin() + 2, words.end()}, client};
+  CommandContext context{options, {arguments.begin() + 2, arguments.end()}, client};
   if (object == "config") {
-    return run_config_command(words[1], context);
+    return run_config_command(arguments[1], context);
   }
   if (object == "job") {
-    return run_job_command(words[1], context);
+    return run_job_command(arguments[1], context);
   }
   if (object == "engine" || object == "node") {
-    return run_fleet_command(object, words[1], context);
+    return run_fleet_command(object, arguments[1], context);
   }
   usage_error("unknown command \"" + object + "\"; see --help");
 }
--- a/apps/dockpoint_sim_main.cpp
+++ b/apps/dockpoint_sim_main.cpp
@@ -179,17 +179,17 @@
       {"failures", "FOLDER", "explore: write a scenario for each seed that fails.",
        [&](const std::string& text) { options.failures_folder = text; }},
   };
-  std::vector<std::string> words = parse_command_line(argc, argv, kUsage, table);
-  if (words.empty()) {
+  std::vector<std::string> arguments = parse_command_line(argc, argv, kUsage, table);
+  if (arguments.empty()) {
     usage_error("a command is required; see --help");
   }
-  const std::string command = words.front();
-  words.erase(words.begin());
+  const std::string command = arguments.front();
+  arguments.erase(arguments.begin());
   if (command == "run" || command == "pairs") {
-    if (words.empty()) {
+    if (arguments.empty()) {
       usage_error(command + " needs at least one scenario file");
     }
-    return command == "run" ? run_files(words, options) : run_pairs(words);
+    return command == "run" ? run_files(arguments, options) : run_pairs(arguments);
   }
   if (command == "explore") {
     return explore(options);
--- a/apps/dockpointd_main.cpp
+++ b/apps/dockpointd_main.cpp
@@ -24,7 +24,7 @@
 }
 
 int run(const dockpoint::Settings& settings) {
-  const sigset_t signals = dockpoint::block_end_signals();
+  const sigset_t signals = dockpoint::block_termination_signals();
   dockpoint::Daemon daemon(settings);
   daemon.start();
   while (!signal_arrived(signals) && !daemon.drain_requested() && !daemon.failed()) {
@@ -32,8 +32,8 @@
   if (daemon.failed()) {
     return dockpoint::kExitFailure;
   }
-  const timespec at_once{0, 0};
-  const int cut = daemon.drain([&] { return sigtimedwait(&signals, nullptr, &at_once) > 0; });
+  const timespec no_wait{0, 0};
+  const int cut = daemon.drain([&] { return sigtimedwait(&signals, nullptr, &no_wait) > 0; });
   daemon.stop();
   spdlog::info("node: The node has stopped.");
   return cut == 0 ? dockpoint::kExitOk : dockpoint::kExitCut;
--- a/src/cli/api_client.cpp
+++ b/src/cli/api_client.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTimeout{30'000};
-constexpr int kTries = 10;
+constexpr int kMaximumAttempts = 10;
 constexpr int kUnavailableStatus = 503;
 
 ApiClient::Answer parse_answer(int status, std::string body) {
@@ -32,8 +32,8 @@
   Problems problems;
   ObjectReader error = ObjectReader(answer.json, "", problems).object("error");
   const bool not_run = error.text("run") == to_string(RunState::kNotRun);
-  const bool again = answer.status == kUnavailableStatus && not_run;
-  return std::chrono::seconds(again ? error.integer("retry_after", {}, 0) : 0);
+  const bool retryable = answer.status == kUnavailableStatus && not_run;
+  return std::chrono::seconds(retryable ? error.integer("retry_after", {}, 0) : 0);
 }
 
 }  // namespace
@@ -77,7 +77,7 @@
     }
     Answer answer = parse_answer(outcome.answer->status, std::move(outcome.answer->body));
     const std::chrono::seconds delay = retry_delay(answer);
-    if (delay.count() == 0 || attempt == kTries) {
+    if (delay.count() == 0 || attempt == kMaximumAttempts) {
       return answer;
     }
     std::this_thread::sleep_for(delay);
--- a/src/cli/command_context.cpp
+++ b/src/cli/command_context.cpp
@@ -39,7 +39,7 @@
   return answer;
 }
 
-std::vector<Poco::JSON::Object::Ptr> data_of(const ApiClient::Answer& answer) {
+std::vector<Poco::JSON::Object::Ptr> response_data(const ApiClient::Answer& answer) {
   std::vector<Poco::JSON::Object::Ptr> entries;
   const Poco::JSON::Array::Ptr data = answer.json->getArray("data");
   for (unsigned index = 0; !data.isNull() && index < data->size(); ++index) {
--- a/src/cli/command_context.hpp
+++ b/src/cli/command_context.hpp
@@ -56,7 +56,7 @@
                                                    const ApiClient::Headers& headers = {});
 
 /// @return the objects in the `data` array of the response.
-std::vector<Poco::JSON::Object::Ptr> data_of(const ApiClient::Answer& answer);
+std::vector<Poco::JSON::Object::Ptr> response_data(const ApiClient::Answer& answer);
 
 /// @return the command's only argument; exits with a usage error if it is missing.
 std::string only_argument(const CommandContext& context, const std::string& name);
--- a/src/cli/config_commands.cpp
+++ b/src/cli/config_commands.cpp
@@ -43,24 +43,24 @@
   return parse_json_object(text);
 }
 
-std::string shown(const Poco::Dynamic::Var& value) {
+std::string value_text(const Poco::Dynamic::Var& value) {
   std::ostringstream out;
   Poco::JSON::Stringifier::stringify(value, out);
   return out.str();
 }
 
 /// Prints every path at which two documents differ.
-void print_differences(const std::string& place, const Poco::Dynamic::Var& theirs,
+void print_differences(const std::string& path, const Poco::Dynamic::Var& theirs,
                        const Poco::Dynamic::Var& ours) {
-  if (shown(theirs) == shown(ours)) {
+  if (value_text(theirs) == value_text(ours)) {
     return;
   }
   const auto is_object = [](const Poco::Dynamic::Var& value) {
     return value.type() == typeid(Poco::JSON::Object::Ptr);
   };
   if (!is_object(theirs) || !is_object(ours)) {
-    std::printf("  %s: in force %s, yours %s\n", place.c_str(), shown(theirs).c_str(),
-                shown(ours).c_str());
+    std::printf("  %s: in force %s, yours %s\n", path.c_str(), value_text(theirs).c_str(),
+                value_text(ours).c_str());
     return;
   }
   const auto& left = theirs.extract<Poco::JSON::Object::Ptr>();
@@ -71,13 +71,13 @@
     keys.insert(names.begin(), names.end());
   }
   for (const std::string& key : keys) {
-    print_differences(place.empty() ? key : place + "." + key, left->get(key), right->get(key));
+    print_differences(path.empty() ? key : path + "." + key, left->get(key), right->get(key));
   }
 }
 
 /// Converts arrays of named entries to objects keyed by name, so that each difference is shown
 /// by entry name.
-Poco::Dynamic::Var by_name(const Poco::Dynamic::Var& value) {
+Poco::Dynamic::Var keyed_by_name(const Poco::Dynamic::Var& value) {
   if (value.type() == typeid(Poco::JSON::Array::Ptr)) {
     const auto& array = value.extract<Poco::JSON::Array::Ptr>();
     Poco::JSON::Object::Ptr entries = new Poco::JSON::Object;
@@ -93,7 +93,7 @@
     const auto& object = value.extract<Poco::JSON::Object::Ptr>();
     Poco::JSON::Object::Ptr copy = new Poco::JSON::Object;
     for (const std::string& key : object->getNames()) {
-      copy->set(key, by_name(object->get(key)));
+      copy->set(key, keyed_by_name(object->get(key)));
     }
     return copy;
   }
@@ -137,7 +137,7 @@
   if (context.options.json_output) {
     return print_json(*answer);
   }
-  for (const Poco::JSON::Object::Ptr& entry : data_of(*answer)) {
+  for (const Poco::JSON::Object::Ptr& entry : response_data(*answer)) {
     std::printf("%6s  %-20s %s\n", entry->get("revision").toString().c_str(),
                 entry->getValue<std::string>("author").c_str(),
                 entry->getValue<std::string>("change_id").c_str());
@@ -146,7 +146,7 @@
 }
 
 /// Prints the differences between the active configuration and a rejected change.
-void explain_conflict(CommandContext& context, const Poco::JSON::Object::Ptr& ours) {
+void print_conflict(CommandContext& context, const Poco::JSON::Object::Ptr& ours) {
   const auto current = request_or_report(context, "GET", kConfigurationPath);
   if (!current || !current->json->isObject("configuration")) {
     return;
@@ -154,8 +154,8 @@
   std::printf("In force is revision %s by %s. It differs from yours in:\n",
               current->json->get("revision").toString().c_str(),
               current->json->optValue<std::string>("author", "").c_str());
-  print_differences("", by_name(current->json->get("configuration")),
-                    by_name(Poco::Dynamic::Var(ours)));
+  print_differences("", keyed_by_name(current->json->get("configuration")),
+                    keyed_by_name(Poco::Dynamic::Var(ours)));
 }
 
 int apply(CommandContext& context) {
@@ -191,7 +191,7 @@
   if (!answer->ok()) {
     report_failure(answer->error_text());
     if (answer->status == kConflictStatus) {
-      explain_conflict(context, configuration);
+      print_conflict(context, configuration);
     }
     return kExitFailure;
   }
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -20,7 +20,7 @@
   }
   std::printf("%-16s %-22s %-12s %6s %8s %8s %8s  %s\n", "NAME", "ADDRESS", "MODEL", "SLOTS",
               "ONLINE", "BATCH", "WAITING", "STATE");
-  for (const Poco::JSON::Object::Ptr& engine : data_of(*answer)) {
+  for (const Poco::JSON::Object::Ptr& engine : response_data(*answer)) {
     const auto number = [&engine](const char* key) { return engine->getValue<int>(key); };
     const std::string state = engine->getValue<bool>("leaving")  ? "leaving"
                               : engine->getValue<bool>("usable") ? "usable"
@@ -43,7 +43,7 @@
     return print_json(*answer);
   }
   std::printf("%-16s %-8s %-16s %-22s %s\n", "NAME", "STATE", "ZONE", "API", "PEER");
-  for (const Poco::JSON::Object::Ptr& node : data_of(*answer)) {
+  for (const Poco::JSON::Object::Ptr& node : response_data(*answer)) {
     const auto text = [&node](const char* key) { return node->getValue<std::string>(key); };
     std::printf("%-16s %-8s %-16s %-22s %s\n", text("name").c_str(), text("state").c_str(),
                 text("zone").c_str(), text("api_address").c_str(), text("peer_address").c_str());
--- a/src/cli/job_commands.cpp
+++ b/src/cli/job_commands.cpp
@@ -146,7 +146,8 @@
   return kExitOk;
 }
 
-int show_job(CommandContext& context, const std::string& method, const std::string& path) {
+int print_job_response(CommandContext& context, const std::string& method,
+                       const std::string& path) {
   const auto answer = request_or_report(context, method, path);
   if (!answer) {
     return kExitFailure;
@@ -183,7 +184,7 @@
   if (context.options.json_output) {
     return print_json(*answer);
   }
-  for (const Poco::JSON::Object::Ptr& batch : data_of(*answer)) {
+  for (const Poco::JSON::Object::Ptr& batch : response_data(*answer)) {
     print_progress_line(read_progress(batch));
   }
   return kExitOk;
@@ -205,10 +206,11 @@
     return wait_for(only_argument(context, "job id"), context);
   }
   if (action == "status") {
-    return show_job(context, "GET", "/v1/batches/" + only_argument(context, "job id"));
+    return print_job_response(context, "GET", "/v1/batches/" + only_argument(context, "job id"));
   }
   if (action == "cancel") {
-    return show_job(context, "POST", "/v1/batches/" + only_argument(context, "job id") + "/cancel");
+    return print_job_response(context, "POST",
+                              "/v1/batches/" + only_argument(context, "job id") + "/cancel");
   }
   usage_error("job takes submit, status, results, cancel, list or wait");
 }
--- a/src/emulator/engine_model.cpp
+++ b/src/emulator/engine_model.cpp
@@ -22,8 +22,8 @@
 }
 
 bool EngineModel::cancel(const std::string& id) {
-  const auto is_it = [&id](const Sequence& sequence) { return sequence.request.id == id; };
-  return std::erase_if(running_, is_it) + std::erase_if(waiting_, is_it) > 0;
+  const auto has_id = [&id](const Sequence& sequence) { return sequence.request.id == id; };
+  return std::erase_if(running_, has_id) + std::erase_if(waiting_, has_id) > 0;
 }
 
 StepResult EngineModel::step() {
--- a/src/emulator/engine_server.cpp
+++ b/src/emulator/engine_server.cpp
@@ -296,8 +296,8 @@
       continue;
     }
     const StepResult step = model_.step();
-    // Each step starts at the scheduled end of the last one, at most 50 ms late, so that sleep
-    // inaccuracy does not accumulate.
+    // Each step starts at the scheduled end of the last one, so that sleep inaccuracy does not
+    // accumulate; a delay beyond 50 ms is not made up for.
     step_started = std::max(step_started, SteadyClock::now() - std::chrono::milliseconds(50));
     step_started += step.duration;
     lock.unlock();
@@ -370,7 +370,7 @@
   Poco::JSON::Array::Ptr events = new Poco::JSON::Array;
   const std::lock_guard<std::mutex> lock(mutex_);
   for (const CacheEvent& event : model_.cache_events(number)) {
-    if (faults_.strikes("drop_cache_events_percent")) {
+    if (faults_.triggers("drop_cache_events_percent")) {
       continue;
     }
     Poco::JSON::Object::Ptr entry = new Poco::JSON::Object;
--- a/src/emulator/fault_switches.cpp
+++ b/src/emulator/fault_switches.cpp
@@ -34,7 +34,7 @@
   return values_.at(name);
 }
 
-bool FaultSwitches::strikes(const std::string& name) {
+bool FaultSwitches::triggers(const std::string& name) {
   constexpr std::uint64_t kPercent = 100;
   const std::lock_guard<std::mutex> lock(mutex_);
   return hash64(name, ++draws_) % kPercent < static_cast<std::uint64_t>(values_.at(name));
--- a/src/emulator/fault_switches.hpp
+++ b/src/emulator/fault_switches.hpp
@@ -21,7 +21,7 @@
   int value(const std::string& name) const;
 
   /// @return true with a probability of `value(name)` percent.
-  bool strikes(const std::string& name);
+  bool triggers(const std::string& name);
 
  private:
   mutable std::mutex mutex_;
--- a/src/emulator/log_server.cpp
+++ b/src/emulator/log_server.cpp
@@ -66,7 +66,7 @@
     return;
   }
   const std::uint64_t first = store_.append(stream, *records);
-  if (faults_.strikes("lose_answer_percent")) {
+  if (faults_.triggers("lose_answer_percent")) {
     static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket().shutdown();
     return;
   }
--- a/src/emulator/machine_list_server.cpp
+++ b/src/emulator/machine_list_server.cpp
@@ -18,7 +18,7 @@
                                Poco::Net::HTTPServerResponse& response) {
   const std::string path = path_of(request.getURI());
   if (path == "/machines") {
-    send_json(response, 200, lagging_list());
+    send_json(response, 200, delayed_list());
     return;
   }
   if (path != "/admin/machines") {
@@ -35,13 +35,13 @@
   error ? send_error(response, *error) : send_json(response, 200, "{}");
 }
 
-std::string MachineListServer::lagging_list() {
+std::string MachineListServer::delayed_list() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const auto shown_until = std::chrono::steady_clock::now() - lag_;
-  while (versions_.size() > 1 && versions_[1].since <= shown_until) {
+  const auto visible_until = std::chrono::steady_clock::now() - lag_;
+  while (versions_.size() > 1 && versions_[1].since <= visible_until) {
     versions_.pop_front();
   }
-  const bool visible = !versions_.empty() && versions_.front().since <= shown_until;
+  const bool visible = !versions_.empty() && versions_.front().since <= visible_until;
   return visible ? versions_.front().json : kEmptyList;
 }
 
--- a/src/emulator/machine_list_server.hpp
+++ b/src/emulator/machine_list_server.hpp
@@ -25,7 +25,7 @@
   };
 
   void handle(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response);
-  std::string lagging_list();
+  std::string delayed_list();
 
   const std::chrono::milliseconds lag_;
   std::mutex mutex_;
--- a/src/emulator/memory_log.cpp
+++ b/src/emulator/memory_log.cpp
@@ -231,7 +231,7 @@
 
 void MemoryLog::expire_leases(TimePoint now) {
   if (faults.down || faults.silent) {
-    return;  // Leases do not expire while the service is down.
+    return;  // Leases do not expire while the service is down or silent.
   }
   for (auto& [name, group] : groups_) {
     bool changed = false;
