--- a/src/cli/config_commands.cpp
+++ b/src/cli/config_commands.cpp
@@ -50,7 +50,7 @@
 }
 
 /// Prints every path at which two documents differ.
-void print_differences(const std::string& path, const Poco::Dynamic::Var& theirs,
+void print_differences(const std::string& json_path, const Poco::Dynamic::Var& theirs,
                        const Poco::Dynamic::Var& ours) {
   if (value_text(theirs) == value_text(ours)) {
     return;
@@ -59,7 +59,7 @@
     return value.type() == typeid(Poco::JSON::Object::Ptr);
   };
   if (!is_object(theirs) || !is_object(ours)) {
-    std::printf("  %s: in force %s, yours %s\n", path.c_str(), value_text(theirs).c_str(),
+    std::printf("  %s: in force %s, yours %s\n", json_path.c_str(), value_text(theirs).c_str(),
                 value_text(ours).c_str());
     return;
   }
@@ -71,7 +71,8 @@
     keys.insert(names.begin(), names.end());
   }
   for (const std::string& key : keys) {
-    print_differences(path.empty() ? key : path + "." + key, left->get(key), right->get(key));
+    print_differences(json_path.empty() ? key : json_path + "." + key, left->get(key),
+                      right->get(key));
   }
 }
 
